--- a/features/steps/findings.py
+++ b/features/steps/findings.py
@@ -34,7 +34,7 @@
     context.numbers[number] = context.numbers.get(number, 0) + 1
     fingerprints = tuple(number_for(name) for name in names)
     finding = Finding(context.numbers[number], kind, fingerprints)
-    quarantine.hear(context.state, server(number), [finding], context.now)
+    quarantine.receive(context.state, server(number), [finding], context.now)
 
 
 @given("what a daemon knows of ends")
@@ -45,7 +45,7 @@
 @given('its own server has answered "{name}"')
 @when('"{name}" is answered')
 def answered(context, name):
-    quarantine.note_answered(context.state, number_for(name), context.now)
+    quarantine.record_answer(context.state, number_for(name), context.now)
 
 
 @when('servers 1, 2 and 3 end under "{name}" beside others of their own')
@@ -80,14 +80,14 @@
 @when('its own server and servers 1 and 2 end under "{name}"')
 def own_and_two(context, name):
     two(context, name)
-    quarantine.note_end(context.state, [number_for(name)], context.now)
+    quarantine.record_crash(context.state, [number_for(name)], context.now)
 
 
 @when('server 1 tells 3 times of one end under "{name}"')
 def thrice(context, name):
     finding = Finding(1, FindingKind.ENDED, (number_for(name),))
     for _ in range(3):
-        quarantine.hear(context.state, server(1), [finding], context.now)
+        quarantine.receive(context.state, server(1), [finding], context.now)
 
 
 @when("{count:d} servers end 3 times, each under {requests:d} requests of its own")
@@ -96,7 +96,9 @@
         names = [f"r-{number}-{i}" for i in range(requests)]
         for _ in range(3):
             tell(context, number, FindingKind.ENDED, [names[0]])
-            quarantine.note_end(context.state, [number_for(name) for name in names], context.now)
+            quarantine.record_crash(
+                context.state, [number_for(name) for name in names], context.now
+            )
 
 
 @when("{span:d} s have passed")
@@ -107,7 +109,7 @@
 
 def refused(context):
     known = context.state.periods_by_fingerprint
-    return {f for f in known if quarantine.left(context.state, f, context.now)}
+    return {f for f in known if quarantine.remaining(context.state, f, context.now)}
 
 
 @then('"{name}" is in quarantine, and no other is')
@@ -118,7 +120,7 @@
 @then('nothing is refused, and "{name}" must run apart')
 def apart(context, name):
     assert not refused(context), context.state.periods_by_fingerprint
-    assert quarantine.must_run_apart(context.state, number_for(name))
+    assert quarantine.must_run_isolated(context.state, number_for(name))
 
 
 @then('nothing is refused, and "{name}" must not run apart')
@@ -129,7 +131,7 @@
 
 @then('"{name}" must not run apart')
 def not_apart(context, name):
-    assert not quarantine.must_run_apart(context.state, number_for(name))
+    assert not quarantine.must_run_isolated(context.state, number_for(name))
 
 
 @then('its record tells the others that "{name}" was answered')
@@ -142,14 +144,14 @@
 
 @then('"{name}" is refused for {span:d} s')
 def refused_for(context, name, span):
-    assert quarantine.left(context.state, number_for(name), context.now) == span
+    assert quarantine.remaining(context.state, number_for(name), context.now) == span
 
 
 @then("nothing at all is known")
 def nothing_known(context):
     state = context.state
-    assert not state.told and not state.reports_by_id, (state.told, state.reports_by_id)
-    assert not state.ends_by_fingerprint and not state.periods_by_fingerprint
+    assert not state.announced and not state.reports_by_id, (state.announced, state.reports_by_id)
+    assert not state.report_ids_by_fingerprint and not state.periods_by_fingerprint
 
 
 @then("at most {ends:d} ends, {quarantines:d} quarantines and {findings:d} findings are held")
@@ -158,21 +160,21 @@
     assert len(state.reports_by_id) <= ends
     assert len(state.periods_by_fingerprint) <= quarantines
     assert len(quarantine.findings(state)) <= findings
-    assert len(state.heard) <= quarantine.MOST_HEARD
+    assert len(state.seen_findings) <= quarantine.MAX_SEEN_FINDINGS
     named = sum(len(report.fingerprints) for report in state.reports_by_id.values())
-    assert len(state.ends_by_fingerprint) <= named
+    assert len(state.report_ids_by_fingerprint) <= named
 
 
 @when("another daemon hears only its record")
 def joins(context):
     told = quarantine.findings(context.state)
     context.other = QuarantineState("10.0.0.77:7400", 1)
-    quarantine.hear(context.other, ME.address, told, context.now)
+    quarantine.receive(context.other, ME.address, told, context.now)
 
 
 @then('that daemon refuses "{name}"')
 def that_refuses(context, name):
-    assert quarantine.left(context.other, number_for(name), context.now) > 0
+    assert quarantine.remaining(context.other, number_for(name), context.now) > 0
 
 
 class OneRow:
@@ -192,7 +194,7 @@
     async def run():
         rows, published = OneRow(), []
         before = OwnRow(rows, ME)
-        before.note_findings(quarantine.kept_findings(context.state))
+        before.note_findings(quarantine.persistent_findings(context.state))
         await before.write()
         me = ME._replace(incarnation=ME.incarnation + 1)
         context.anew = Quarantine(me, lambda findings, kept, urgent: published.append(findings))
--- a/hornbeamgw/core/finding.py
+++ b/hornbeamgw/core/finding.py
@@ -1,27 +1,28 @@
-"""Finding: what a daemon learned of requests at its server, as its record tells others."""
+"""Findings: observations about requests that a daemon publishes in its member record."""
 
 from __future__ import annotations
 
 import enum
 from typing import NamedTuple
 
-# A server of the users' runs 2 to 12 requests at a time; some were given up on just before.
-MOST_FINGERPRINTS = 16
-# Of each kind a record carries so many at most, 1 KB with all of them; mostly it carries none.
-MOST_OF_A_KIND = 4
-MOST_FINDINGS = 3 * MOST_OF_A_KIND
+# Fingerprints per finding. Covers the requests running when a server crashes and those cancelled
+# shortly before.
+MAX_FINGERPRINTS = 16
+# Bounds the findings in a member record to about 1 KB.
+MAX_FINDINGS_PER_KIND = 4
+MAX_FINDINGS = 3 * MAX_FINDINGS_PER_KIND
 
 
 class FindingKind(enum.IntEnum):
-    """Say what was learned of the requests that a finding names."""
+    """Enumerate what a finding states about the requests it names."""
 
-    ENDED = 0  # they ran as the server ended
-    ANSWERED = 1  # the server answered them, so they are not what ends servers
-    QUARANTINED = 2  # servers end under them
+    ENDED = 0  # running when the server exited
+    ANSWERED = 1  # answered by the server, so they do not crash it
+    QUARANTINED = 2  # identified as the cause of server crashes
 
 
 class Finding(NamedTuple):
-    """Hold one finding; numbers rise with each that a daemon makes, also over its restarts."""
+    """Hold one finding; numbers increase with each finding of a daemon, also across restarts."""
 
     number: int
     kind: FindingKind
--- a/hornbeamgw/core/quarantine.py
+++ b/hornbeamgw/core/quarantine.py
@@ -1,14 +1,14 @@
-"""Quarantine: keeps a request under which servers end from reaching any others.
+"""Quarantine: stops requests that crash backend servers from being sent to further servers.
 
-Where work is queued such a request is known as a poison message. An end is at first held against
-the server; only what ran at several ends is held against the request. A daemon whose server ends
-reports the fingerprints of all that ran there; its member record carries the report to every other
-daemon, also to one that joins later. A request is quarantined once enough reports name it and
-nothing else is named by all of them. So what ran beside the cause is not blamed, nor what the
-servers have answered, however many copies of it ran while they fell for other reasons.
+Message queues call such a request a poison message. When a backend server crashes, the daemon
+beside it reports the fingerprints of all requests that were running. The report is part of the
+daemon's member record, which gossip distributes to all daemons, including those that join later.
+A request is quarantined once `CRASHES_TO_QUARANTINE` reports name it and no other request is named
+by all of these. Requests that merely ran alongside the cause, and requests that the server has
+answered, are therefore not quarantined.
 
-A quarantined request is refused for a time, then tried again: one more end quarantines it for twice
-as long, one answer clears it everywhere. All that is remembered is bounded in number and time.
+A quarantined request is refused for a period and then tried again. Another crash quarantines it for
+twice as long; a successful answer clears it on all daemons. All state is bounded in size and age.
 """
 
 from __future__ import annotations
@@ -18,153 +18,157 @@
 from typing import NamedTuple
 
 from hornbeamgw.core.finding import (
-    MOST_FINGERPRINTS,
-    MOST_OF_A_KIND,
+    MAX_FINDINGS_PER_KIND,
+    MAX_FINGERPRINTS,
     Finding,
     FindingKind,
 )
 from hornbeamgw.core.fingerprint import UNKNOWN
 
-# A request and its client's repeats reach two servers or three where servers fall by chance.
-ENDS_TO_QUARANTINE = 3
-# From so many ends on a request runs beside no other of which as much is known: the next end then
-# tells the cause from what ran beside it.
-ENDS_TO_RUN_APART = 2
-# How long (s) an end is held against what ran there: a client that repeats does so within minutes.
-REPORTED_S = 600.0
-MOST_REPORTS = 256
-# A server is back after some 5 s: one end each 300 s takes 0.6% of a service of three. Doubled each
-# time up to an hour; a request that was blamed wrongly is served again after the first.
-QUARANTINE_S = 300.0
-QUARANTINE_MOST_S = 3600.0
-MOST_QUARANTINED = 64
-# Gossip brings a change to a fleet of 950 within seconds; one that joins later needs no answers.
-ANSWER_TOLD_S = 30.0
-# What the present run of the server has answered of late, 170 bytes each by tracemalloc: at 270
-# calls/s a daemon, a request that is asked for every 7 s is among them.
-MOST_ANSWERED = 2048
-MOST_HEARD = 2048
-
-FindingId = tuple[str, int]  # the address of the daemon that made it, and its number
-
-
-class Report(NamedTuple):
-    """Hold which requests ran as a server ended, and when that was heard of."""
-
-    at: float
+# Crashes that name a request before it is quarantined. Below this, a client's retries could be
+# blamed for unrelated crashes.
+CRASHES_TO_QUARANTINE = 3
+# Crashes after which a request no longer runs concurrently with another suspect, so that the next
+# crash identifies the cause.
+CRASHES_TO_ISOLATE = 2
+# Retries by a client are expected within minutes.
+CRASH_REPORT_RETENTION_S = 600.0
+MAX_CRASH_REPORTS = 256
+# The period doubles with each further crash, up to the maximum.
+INITIAL_QUARANTINE_S = 300.0
+MAX_QUARANTINE_S = 3600.0
+MAX_QUARANTINED = 64
+# Gossip reaches all daemons within seconds; daemons that join later do not need the answers.
+ANSWER_ANNOUNCED_S = 30.0
+# Bounds the fingerprints of answered requests that are kept for the current server process.
+MAX_ANSWERED = 2048
+MAX_SEEN_FINDINGS = 2048
+
+FindingId = tuple[str, int]  # address of the reporting daemon, number of the finding
+
+
+class CrashReport(NamedTuple):
+    """Hold the requests that were running when a server crashed, and the time of receipt (s)."""
+
+    received_at: float
     fingerprints: frozenset[int]
 
 
-class Period(NamedTuple):
-    """Hold until when a request is refused, for how long (s) that was set, and if it is over."""
+class QuarantinePeriod(NamedTuple):
+    """Hold the end (s) and duration (s) of a quarantine, and whether it has expired."""
 
     until: float
-    length: float
+    duration: float
     is_over: bool = False
 
 
-class Told(NamedTuple):
-    """Hold a finding of one's own, until when to tell it, and whether it must outlast restarts."""
+class AnnouncedFinding(NamedTuple):
+    """Hold a finding of this daemon, its expiry time (s), and whether it must survive restarts."""
 
     finding: Finding
     until: float
-    is_kept: bool = False
+    is_persistent: bool = False
 
 
-class Decided(NamedTuple):
-    """Name what has newly been quarantined, with the daemons that told so, and what was cleared."""
+class QuarantineChanges(NamedTuple):
+    """List newly quarantined requests with the daemons that reported them, and cleared requests."""
 
     quarantined: Mapping[int, Sequence[str]]
     cleared: Sequence[int] = ()
 
 
-NOTHING = Decided({})
+NO_CHANGES = QuarantineChanges({})
 
 
 class QuarantineState:
-    """Hold the findings of all daemons, those of one's own, and what they came to."""
+    """Hold the findings of this daemon and of all others, and the resulting quarantines."""
 
     def __init__(self, address: str, first_number: int) -> None:
-        """Start knowing nothing; take this daemon's address, and a number above all before."""
+        """Start empty; `first_number` must exceed all finding numbers used before a restart."""
         self.address = address
         self.next_number = first_number
-        self.told: list[Told] = []
-        self.heard: OrderedDict[FindingId, None] = OrderedDict()
-        self.reports_by_id: OrderedDict[FindingId, Report] = OrderedDict()
-        self.ends_by_fingerprint: dict[int, set[FindingId]] = {}
-        self.periods_by_fingerprint: OrderedDict[int, Period] = OrderedDict()
+        self.announced: list[AnnouncedFinding] = []
+        self.seen_findings: OrderedDict[FindingId, None] = OrderedDict()
+        self.reports_by_id: OrderedDict[FindingId, CrashReport] = OrderedDict()
+        self.report_ids_by_fingerprint: dict[int, set[FindingId]] = {}
+        self.periods_by_fingerprint: OrderedDict[int, QuarantinePeriod] = OrderedDict()
         self.answered: OrderedDict[int, None] = OrderedDict()
         self.cleared_until_by_fingerprint: OrderedDict[int, float] = OrderedDict()
 
 
 def findings(state: QuarantineState) -> tuple[Finding, ...]:
-    """Return the findings that one's own record carries."""
-    return tuple(told.finding for told in state.told)
+    """Return the findings that this daemon publishes in its member record."""
+    return tuple(announced.finding for announced in state.announced)
 
 
-def kept_findings(state: QuarantineState) -> tuple[Finding, ...]:
-    """Return the findings that the daemon's row carries, in case all daemons end."""
-    return tuple(told.finding for told in state.told if told.is_kept)
+def persistent_findings(state: QuarantineState) -> tuple[Finding, ...]:
+    """Return the findings that are written to the store, to survive a restart of all daemons."""
+    return tuple(announced.finding for announced in state.announced if announced.is_persistent)
 
 
-def left(state: QuarantineState, fingerprint: int, now: float) -> float:
-    """Return for how long (s) a request is refused, 0 where it may run."""
+def remaining(state: QuarantineState, fingerprint: int, now: float) -> float:
+    """Return the remaining quarantine of a request in seconds, 0 if it may run."""
     period = state.periods_by_fingerprint.get(fingerprint)
     return max(0.0, period.until - now) if period is not None else 0.0
 
 
-def note_refused(state: QuarantineState, fingerprint: int) -> None:
-    """Tell of a quarantine that is in use here: whoever has answered the request then says so.
+def record_refusal(state: QuarantineState, fingerprint: int) -> None:
+    """Announce a quarantine that refused a request here, so that a daemon can contradict it.
 
-    Those that told of it first may be gone. With too many in use some are not told.
+    A daemon whose server has answered the request then clears the quarantine. The daemons that
+    first announced it may have left. At most `MAX_FINDINGS_PER_KIND` quarantines are announced.
     """
-    told = [t.finding for t in state.told if t.finding.kind is FindingKind.QUARANTINED]
-    if len(told) < MOST_OF_A_KIND and all(fingerprint not in f.fingerprints for f in told):
-        _tell_quarantined(state, fingerprint, is_kept=False)
+    announced = [t.finding for t in state.announced if t.finding.kind is FindingKind.QUARANTINED]
+    if len(announced) < MAX_FINDINGS_PER_KIND and all(
+        fingerprint not in f.fingerprints for f in announced
+    ):
+        _announce_quarantined(state, fingerprint, is_persistent=False)
 
 
-def must_run_apart(state: QuarantineState, fingerprint: int) -> bool:
-    """Return whether a request may run beside no other of which as much is known."""
+def must_run_isolated(state: QuarantineState, fingerprint: int) -> bool:
+    """Return whether a request must not run concurrently with another suspect."""
     if fingerprint in state.periods_by_fingerprint:
         return True
-    return len(state.ends_by_fingerprint.get(fingerprint, ())) >= ENDS_TO_RUN_APART
+    return len(state.report_ids_by_fingerprint.get(fingerprint, ())) >= CRASHES_TO_ISOLATE
 
 
-def note_answered(state: QuarantineState, fingerprint: int, now: float) -> Decided:
-    """Take a request that the server beside this daemon has answered."""
+def record_answer(state: QuarantineState, fingerprint: int, now: float) -> QuarantineChanges:
+    """Record that the local backend server has answered a request."""
     if fingerprint == UNKNOWN:
-        return NOTHING
+        return NO_CHANGES
     state.answered[fingerprint] = None
     state.answered.move_to_end(fingerprint)
-    while len(state.answered) > MOST_ANSWERED:
+    while len(state.answered) > MAX_ANSWERED:
         state.answered.popitem(last=False)
-    matters = must_run_apart(state, fingerprint)
+    matters = must_run_isolated(state, fingerprint)
     cleared = _clear_answered(state, (fingerprint,), now) if matters else []
-    return Decided(_quarantine_causes(state, (), now), cleared) if cleared else NOTHING
+    return QuarantineChanges(_quarantine_causes(state, (), now), cleared) if cleared else NO_CHANGES
 
 
 def forget_run(state: QuarantineState) -> None:
-    """Forget what a run of the server has answered, as another begins."""
+    """Discard the answered requests when a new server process starts."""
     state.answered.clear()
 
 
-def note_end(state: QuarantineState, ran: Iterable[int], now: float) -> Decided:
-    """Take that the server beside this daemon ended, and what ran there."""
+def record_crash(state: QuarantineState, ran: Iterable[int], now: float) -> QuarantineChanges:
+    """Record a crash of the local backend server and the requests that were running."""
     unanswered = [f for f in ran if f not in state.answered and f != UNKNOWN]
     forget_run(state)
     if not unanswered:
-        return NOTHING
-    # The cause is among those that ran at most ends; where there are too many, others are left out.
-    unanswered.sort(key=lambda f: -len(state.ends_by_fingerprint.get(f, ())))
-    named = tuple(unanswered[:MOST_FINGERPRINTS])
-    number = _tell(state, FindingKind.ENDED, named, now + REPORTED_S)
-    _take_report(state, (state.address, number), named, now)
-    return Decided(_quarantine_causes(state, named, now))
-
-
-def hear(state: QuarantineState, address: str, told: Sequence[Finding], now: float) -> Decided:
-    """Take the findings in a daemon's record, also in that of this one before it restarted."""
-    new = [finding for finding in told if _is_new(state, (address, finding.number))]
+        return NO_CHANGES
+    # The finding is limited in size: keep the requests named by the most reports.
+    unanswered.sort(key=lambda f: -len(state.report_ids_by_fingerprint.get(f, ())))
+    named = tuple(unanswered[:MAX_FINGERPRINTS])
+    number = _announce(state, FindingKind.ENDED, named, now + CRASH_REPORT_RETENTION_S)
+    _store_report(state, (state.address, number), named, now)
+    return QuarantineChanges(_quarantine_causes(state, named, now))
+
+
+def receive(
+    state: QuarantineState, address: str, announced: Sequence[Finding], now: float
+) -> QuarantineChanges:
+    """Process the findings in a member record, including this daemon's from before a restart."""
+    new = [finding for finding in announced if _is_new(state, (address, finding.number))]
     quarantined: dict[int, Sequence[str]] = {}
     cleared: list[int] = []
     reported: list[int] = []
@@ -172,202 +176,222 @@
         if finding.kind is FindingKind.ANSWERED:
             cleared += [f for f in finding.fingerprints if _clear(state, f, now)]
             continue
-        named = [f for f in finding.fingerprints if not _was_cleared(state, f, now)]
+        named = [f for f in finding.fingerprints if not _was_recently_cleared(state, f, now)]
         if finding.kind is FindingKind.ENDED:
-            _take_report(state, (address, finding.number), named, now)
+            _store_report(state, (address, finding.number), named, now)
             reported += named
         else:
-            quarantined |= _take_quarantined(state, address, named, now)
-    # Where one daemon refuses what this one serves, it has not heard of the answer, or not since.
-    refused = [f for told in new if told.kind is FindingKind.QUARANTINED for f in told.fingerprints]
-    suspects = [f for f in reported if must_run_apart(state, f)]
+            quarantined |= _accept_quarantined(state, address, named, now)
+    # A daemon that quarantines a request answered here has not received the answer: announce it.
+    refused = [
+        f
+        for announced in new
+        if announced.kind is FindingKind.QUARANTINED
+        for f in announced.fingerprints
+    ]
+    suspects = [f for f in reported if must_run_isolated(state, f)]
     cleared += _clear_answered(state, (*suspects, *refused), now)
     quarantined |= _quarantine_causes(state, reported, now)
-    return Decided({f: why for f, why in quarantined.items() if f not in cleared}, cleared)
+    return QuarantineChanges(
+        {f: reporters for f, reporters in quarantined.items() if f not in cleared}, cleared
+    )
 
 
 def expire(state: QuarantineState, now: float) -> tuple[int, ...]:
-    """Forget what is over; return the requests that may be tried again from now on."""
-    state.told = [told for told in state.told if now < told.until]
+    """Remove expired state; return the requests whose quarantine has just ended."""
+    state.announced = [announced for announced in state.announced if now < announced.until]
     for finding_id, report in list(state.reports_by_id.items()):
-        if now - report.at >= REPORTED_S:
+        if now - report.received_at >= CRASH_REPORT_RETENTION_S:
             _drop_report(state, finding_id)
     for fingerprint, until in list(state.cleared_until_by_fingerprint.items()):
         if until <= now:
             del state.cleared_until_by_fingerprint[fingerprint]
-    ended = []
+    expired = []
     for fingerprint, period in list(state.periods_by_fingerprint.items()):
         if period.until <= now and not period.is_over:
             _end_period(state, fingerprint, period)
-            ended.append(fingerprint)
-        if now >= period.until + period.length:
+            expired.append(fingerprint)
+        if now >= period.until + period.duration:
             del state.periods_by_fingerprint[fingerprint]
-    return tuple(ended)
+    return tuple(expired)
 
 
 def _is_new(state: QuarantineState, finding_id: FindingId) -> bool:
-    if finding_id in state.heard:
+    if finding_id in state.seen_findings:
         return False
-    state.heard[finding_id] = None
-    while len(state.heard) > MOST_HEARD:
-        state.heard.popitem(last=False)
+    state.seen_findings[finding_id] = None
+    while len(state.seen_findings) > MAX_SEEN_FINDINGS:
+        state.seen_findings.popitem(last=False)
     return True
 
 
-def _tell(
+def _announce(
     state: QuarantineState,
     kind: FindingKind,
     fingerprints: tuple[int, ...],
     until: float,
-    is_kept: bool = False,
+    is_persistent: bool = False,
 ) -> int:
-    """Add a finding to those that one's own record carries, and return its number."""
+    """Add a finding to this daemon's record and return its number."""
     finding = Finding(state.next_number, kind, fingerprints)
     state.next_number += 1
-    alike = [told for told in state.told if told.finding.kind is kind]
-    others = [told for told in state.told if told.finding.kind is not kind]
-    state.told = [*others, *[*alike, Told(finding, until, is_kept)][-MOST_OF_A_KIND:]]
+    alike = [announced for announced in state.announced if announced.finding.kind is kind]
+    others = [announced for announced in state.announced if announced.finding.kind is not kind]
+    state.announced = [
+        *others,
+        *[*alike, AnnouncedFinding(finding, until, is_persistent)][-MAX_FINDINGS_PER_KIND:],
+    ]
     return finding.number
 
 
-def _tell_quarantined(state: QuarantineState, fingerprint: int, is_kept: bool = True) -> None:
+def _announce_quarantined(
+    state: QuarantineState, fingerprint: int, is_persistent: bool = True
+) -> None:
     _withdraw_quarantined(state, fingerprint)
     until = state.periods_by_fingerprint[fingerprint].until
-    _tell(state, FindingKind.QUARANTINED, (fingerprint,), until, is_kept)
+    _announce(state, FindingKind.QUARANTINED, (fingerprint,), until, is_persistent)
 
 
 def _withdraw_quarantined(state: QuarantineState, fingerprint: int) -> None:
     alike = (FindingKind.QUARANTINED, (fingerprint,))
-    state.told = [t for t in state.told if (t.finding.kind, t.finding.fingerprints) != alike]
+    state.announced = [
+        t for t in state.announced if (t.finding.kind, t.finding.fingerprints) != alike
+    ]
 
 
 def _withdraw_answered(state: QuarantineState, fingerprint: int) -> None:
-    """Tell no longer that a request was answered: servers have ended under it since."""
-    for index, told in enumerate(state.told):
-        named = told.finding.fingerprints
-        if told.finding.kind is FindingKind.ANSWERED and fingerprint in named:
+    """Stop announcing that a request was answered: servers have crashed under it since."""
+    for index, announced in enumerate(state.announced):
+        named = announced.finding.fingerprints
+        if announced.finding.kind is FindingKind.ANSWERED and fingerprint in named:
             rest = tuple(f for f in named if f != fingerprint)
-            state.told[index] = told._replace(finding=told.finding._replace(fingerprints=rest))
+            state.announced[index] = announced._replace(
+                finding=announced.finding._replace(fingerprints=rest)
+            )
 
 
-def _tell_answered(state: QuarantineState, fingerprints: Sequence[int], now: float) -> None:
-    """Tell in one finding what was answered, with what was told so a moment ago."""
-    before = [t.finding for t in state.told if t.finding.kind is FindingKind.ANSWERED]
-    state.told = [t for t in state.told if t.finding.kind is not FindingKind.ANSWERED]
+def _announce_answered(state: QuarantineState, fingerprints: Sequence[int], now: float) -> None:
+    """Announce answered requests, merged with those announced recently, in a single finding."""
+    before = [t.finding for t in state.announced if t.finding.kind is FindingKind.ANSWERED]
+    state.announced = [t for t in state.announced if t.finding.kind is not FindingKind.ANSWERED]
     known = dict.fromkeys([*fingerprints, *(f for finding in before for f in finding.fingerprints)])
-    named = tuple(known)[:MOST_FINGERPRINTS]
-    _tell(state, FindingKind.ANSWERED, named, now + ANSWER_TOLD_S)
+    named = tuple(known)[:MAX_FINGERPRINTS]
+    _announce(state, FindingKind.ANSWERED, named, now + ANSWER_ANNOUNCED_S)
 
 
-def _take_report(
+def _store_report(
     state: QuarantineState, finding_id: FindingId, fingerprints: Iterable[int], now: float
 ) -> None:
     if finding_id in state.reports_by_id:
         return
-    report = Report(now, frozenset(fingerprints))
+    report = CrashReport(now, frozenset(fingerprints))
     state.reports_by_id[finding_id] = report
     for fingerprint in report.fingerprints:
-        state.ends_by_fingerprint.setdefault(fingerprint, set()).add(finding_id)
-    while len(state.reports_by_id) > MOST_REPORTS:
+        state.report_ids_by_fingerprint.setdefault(fingerprint, set()).add(finding_id)
+    while len(state.reports_by_id) > MAX_CRASH_REPORTS:
         _drop_report(state, next(iter(state.reports_by_id)))
 
 
 def _drop_report(state: QuarantineState, finding_id: FindingId) -> None:
     for fingerprint in state.reports_by_id.pop(finding_id).fingerprints:
-        ends = state.ends_by_fingerprint[fingerprint]
-        ends.discard(finding_id)
-        if not ends:
-            del state.ends_by_fingerprint[fingerprint]
+        ids = state.report_ids_by_fingerprint[fingerprint]
+        ids.discard(finding_id)
+        if not ids:
+            del state.report_ids_by_fingerprint[fingerprint]
 
 
-def _end_period(state: QuarantineState, fingerprint: int, period: Period) -> None:
-    """Forget the ends that a quarantine explains, so that only one that follows counts again.
+def _end_period(state: QuarantineState, fingerprint: int, period: QuarantinePeriod) -> None:
+    """Drop the crash reports that a quarantine explains, so that only later crashes count.
 
-    They go whole: with the cause struck, they would be held against what ran beside it.
+    Whole reports are dropped: without the cause, they would count against the other requests.
     """
-    for finding_id in list(state.ends_by_fingerprint.get(fingerprint, ())):
+    for finding_id in list(state.report_ids_by_fingerprint.get(fingerprint, ())):
         _drop_report(state, finding_id)
     state.periods_by_fingerprint[fingerprint] = period._replace(is_over=True)
 
 
-def _forget_ends(state: QuarantineState, fingerprint: int) -> bool:
-    """Strike a request from all reports; return whether it stood in any."""
-    ends = state.ends_by_fingerprint.pop(fingerprint, set())
-    for finding_id in ends:
+def _remove_from_reports(state: QuarantineState, fingerprint: int) -> bool:
+    """Remove a request from all crash reports; return whether any named it."""
+    ids = state.report_ids_by_fingerprint.pop(fingerprint, set())
+    for finding_id in ids:
         report = state.reports_by_id[finding_id]
         rest = report.fingerprints - {fingerprint}
         state.reports_by_id[finding_id] = report._replace(fingerprints=rest)
-    return bool(ends)
+    return bool(ids)
 
 
-def _take_quarantined(
+def _accept_quarantined(
     state: QuarantineState, address: str, fingerprints: Iterable[int], now: float
 ) -> dict[int, Sequence[str]]:
-    """Take what another daemon has quarantined; return what is new of it."""
+    """Apply quarantines announced by a daemon; return those that are new here."""
     new = [f for f in fingerprints if f not in state.periods_by_fingerprint]
     for fingerprint in new:
         _quarantine(state, fingerprint, now)
-        # What this daemon told before it restarted is told again, so that the next start finds it.
+        # Announce quarantines from before this daemon's restart again, to keep them stored.
         if address == state.address:
-            _tell_quarantined(state, fingerprint)
+            _announce_quarantined(state, fingerprint)
     return dict.fromkeys(new, (address,))
 
 
 def _quarantine(state: QuarantineState, fingerprint: int, now: float) -> None:
     _withdraw_answered(state, fingerprint)
     before = state.periods_by_fingerprint.pop(fingerprint, None)
-    length = QUARANTINE_S if before is None else min(QUARANTINE_MOST_S, 2 * before.length)
-    state.periods_by_fingerprint[fingerprint] = Period(now + length, length)
-    while len(state.periods_by_fingerprint) > MOST_QUARANTINED:
+    duration = (
+        INITIAL_QUARANTINE_S if before is None else min(MAX_QUARANTINE_S, 2 * before.duration)
+    )
+    state.periods_by_fingerprint[fingerprint] = QuarantinePeriod(now + duration, duration)
+    while len(state.periods_by_fingerprint) > MAX_QUARANTINED:
         state.periods_by_fingerprint.popitem(last=False)
 
 
-def _was_cleared(state: QuarantineState, fingerprint: int, now: float) -> bool:
-    """Return whether what is told against a request may be older than an answer to it."""
+def _was_recently_cleared(state: QuarantineState, fingerprint: int, now: float) -> bool:
+    """Return whether a finding against a request may predate an answer to it."""
     return now < state.cleared_until_by_fingerprint.get(fingerprint, 0.0)
 
 
 def _clear(state: QuarantineState, fingerprint: int, now: float) -> bool:
-    """Forget all that is held against a request; return whether there was anything."""
-    state.cleared_until_by_fingerprint[fingerprint] = now + ANSWER_TOLD_S
+    """Remove all reports and quarantines of a request; return whether there were any."""
+    state.cleared_until_by_fingerprint[fingerprint] = now + ANSWER_ANNOUNCED_S
     state.cleared_until_by_fingerprint.move_to_end(fingerprint)
-    while len(state.cleared_until_by_fingerprint) > MOST_QUARANTINED:
+    while len(state.cleared_until_by_fingerprint) > MAX_QUARANTINED:
         state.cleared_until_by_fingerprint.popitem(last=False)
     _withdraw_quarantined(state, fingerprint)
     was_quarantined = state.periods_by_fingerprint.pop(fingerprint, None) is not None
-    return _forget_ends(state, fingerprint) or was_quarantined
+    return _remove_from_reports(state, fingerprint) or was_quarantined
 
 
 def _clear_answered(state: QuarantineState, suspects: Iterable[int], now: float) -> list[int]:
-    """Clear what was answered here of that which any daemon holds enough against to matter."""
+    """Clear those suspects that the local server has answered, and announce the answers."""
     known = [f for f in dict.fromkeys(suspects) if f in state.answered]
     for fingerprint in known:
         _clear(state, fingerprint, now)
     if known:
-        _tell_answered(state, known, now)
+        _announce_answered(state, known, now)
     return known
 
 
 def _is_cause(state: QuarantineState, fingerprint: int) -> bool:
-    """Return whether enough reports name a request, and no other is named by all of them."""
-    ends = state.ends_by_fingerprint.get(fingerprint, set())
-    if len(ends) < ENDS_TO_QUARANTINE:
+    """Return whether enough reports name a request and no other is named by all of them."""
+    ids = state.report_ids_by_fingerprint.get(fingerprint, set())
+    if len(ids) < CRASHES_TO_QUARANTINE:
         return False
-    return len(frozenset.intersection(*(state.reports_by_id[i].fingerprints for i in ends))) == 1
+    return len(frozenset.intersection(*(state.reports_by_id[i].fingerprints for i in ids))) == 1
 
 
 def _quarantine_causes(
     state: QuarantineState, reported: Iterable[int], now: float
 ) -> dict[int, Sequence[str]]:
-    """Quarantine what the reports show to be a cause; return it with who reported the ends."""
-    again = [f for f in reported if f in state.periods_by_fingerprint and not left(state, f, now)]
-    fresh = [f for f in state.ends_by_fingerprint if f not in state.periods_by_fingerprint]
+    """Quarantine requests identified as a cause; return them with the reporting daemons."""
+    again = [
+        f for f in reported if f in state.periods_by_fingerprint and not remaining(state, f, now)
+    ]
+    fresh = [f for f in state.report_ids_by_fingerprint if f not in state.periods_by_fingerprint]
     causes = [*again, *(f for f in fresh if _is_cause(state, f))]
     quarantined: dict[int, Sequence[str]] = {}
     for fingerprint in causes:
         _quarantine(state, fingerprint, now)
-        ends = state.ends_by_fingerprint[fingerprint]
-        quarantined[fingerprint] = sorted(address for address, _ in ends)
-        if any(address == state.address for address, _ in ends):
-            _tell_quarantined(state, fingerprint)
+        ids = state.report_ids_by_fingerprint[fingerprint]
+        quarantined[fingerprint] = sorted(address for address, _ in ids)
+        if any(address == state.address for address, _ in ids):
+            _announce_quarantined(state, fingerprint)
     return quarantined
--- a/hornbeamgw/daemon/admin.py
+++ b/hornbeamgw/daemon/admin.py
@@ -264,7 +264,9 @@
             {
                 "fingerprint": as_text(fingerprint),
                 "refused_for_s": round(max(0.0, period.until - now), 1),
-                "ends": [address for address, _ in state.ends_by_fingerprint.get(fingerprint, ())],
+                "ends": [
+                    address for address, _ in state.report_ids_by_fingerprint.get(fingerprint, ())
+                ],
             }
             for fingerprint, period in state.periods_by_fingerprint.items()
         ]
--- a/hornbeamgw/daemon/codec.py
+++ b/hornbeamgw/daemon/codec.py
@@ -9,7 +9,7 @@
 
 import capnp
 
-from hornbeamgw.core.finding import MOST_FINDINGS, MOST_FINGERPRINTS, Finding, FindingKind
+from hornbeamgw.core.finding import MAX_FINDINGS, MAX_FINGERPRINTS, Finding, FindingKind
 from hornbeamgw.core.membership import FurtherServer, Member, ServerState, Status
 from hornbeamgw.core.snapshot import Limits
 from hornbeamgw.core.standing import MOST_STANDINGS, Closing, Phase, Standing
@@ -94,8 +94,8 @@
 
 
 def _read_finding(raw: Any) -> Finding:
-    if len(raw.fingerprints) > MOST_FINGERPRINTS:
-        raise ValueError(f"{len(raw.fingerprints)} fingerprints, expected {MOST_FINGERPRINTS}")
+    if len(raw.fingerprints) > MAX_FINGERPRINTS:
+        raise ValueError(f"{len(raw.fingerprints)} fingerprints, expected {MAX_FINGERPRINTS}")
     return Finding(raw.number, FindingKind(raw.kind), tuple(raw.fingerprints))
 
 
@@ -161,8 +161,8 @@
     *place, status = read_already
     service, state, *more = _read_first_server(raw)
     findings, further_servers, standings = _read_lists(raw)
-    if len(findings) > MOST_FINDINGS:
-        raise ValueError(f"{len(findings)} findings, expected {MOST_FINDINGS} at most")
+    if len(findings) > MAX_FINDINGS:
+        raise ValueError(f"{len(findings)} findings, expected {MAX_FINDINGS} at most")
     if len(standings) > MOST_STANDINGS:
         raise ValueError(f"{len(standings)} standings, expected {MOST_STANDINGS} at most")
     values = (
--- a/hornbeamgw/daemon/presence.py
+++ b/hornbeamgw/daemon/presence.py
@@ -17,7 +17,7 @@
 
 from hornbeamgw.backends.base import PlatformError
 from hornbeamgw.backends.rows import RowPage, RowStore, StoredRow
-from hornbeamgw.core.finding import MOST_FINDINGS, MOST_FINGERPRINTS, Finding
+from hornbeamgw.core.finding import MAX_FINDINGS, MAX_FINGERPRINTS, Finding
 from hornbeamgw.core.membership import Member, ServerState
 from hornbeamgw.core.options import is_address
 from hornbeamgw.core.registration import Announcement
@@ -76,13 +76,13 @@
 
 
 def _check_findings(findings: tuple[Finding, ...]) -> None:
-    if len(findings) > MOST_FINDINGS:
-        raise ValueError(f"{len(findings)} findings, expected {MOST_FINDINGS} at most")
+    if len(findings) > MAX_FINDINGS:
+        raise ValueError(f"{len(findings)} findings, expected {MAX_FINDINGS} at most")
     for finding in findings:
         if not 0 <= finding.number < 1 << 32:
             raise ValueError(f"finding {finding.number!r}, expected 0 to {(1 << 32) - 1}")
-        if len(finding.fingerprints) > MOST_FINGERPRINTS:
-            raise ValueError(f"{finding.fingerprints!r}, expected {MOST_FINGERPRINTS} at most")
+        if len(finding.fingerprints) > MAX_FINGERPRINTS:
+            raise ValueError(f"{finding.fingerprints!r}, expected {MAX_FINGERPRINTS} at most")
         if any(not 0 <= f < 1 << 64 for f in finding.fingerprints):
             raise ValueError(f"fingerprints {finding.fingerprints!r}, expected 0 to 2**64 - 1")
 
--- a/hornbeamgw/daemon/quarantine.py
+++ b/hornbeamgw/daemon/quarantine.py
@@ -11,7 +11,7 @@
 from hornbeamgw.core.finding import Finding, FindingKind
 from hornbeamgw.core.fingerprint import as_text
 from hornbeamgw.core.membership import Member
-from hornbeamgw.core.quarantine import Decided, QuarantineState
+from hornbeamgw.core.quarantine import QuarantineChanges, QuarantineState
 from hornbeamgw.core.verdict import Failure, Reason, not_run
 
 log = logging.getLogger(__name__)
@@ -38,26 +38,28 @@
         """Return why a request is not sent to any server, None where it may be."""
         if not self.state.periods_by_fingerprint:
             return None
-        left = quarantine.left(self.state, fingerprint, asyncio.get_running_loop().time())
-        if not left:
+        remaining = quarantine.remaining(self.state, fingerprint, asyncio.get_running_loop().time())
+        if not remaining:
             return None
         self.counts["refused"] += 1
-        quarantine.note_refused(self.state, fingerprint)
+        quarantine.record_refusal(self.state, fingerprint)
         self._tell()
-        return not_run(Reason.QUARANTINED, "servers end under this request", round(left * 1000))
+        return not_run(
+            Reason.QUARANTINED, "servers end under this request", round(remaining * 1000)
+        )
 
     def must_run_apart(self, fingerprint: int) -> bool:
         """Return whether a request may run beside no other of which as much is known."""
-        return quarantine.must_run_apart(self.state, fingerprint)
+        return quarantine.must_run_isolated(self.state, fingerprint)
 
     def note_answered(self, fingerprint: int) -> None:
         """Take a request that the server here has answered."""
         now = asyncio.get_running_loop().time()
-        self._act(quarantine.note_answered(self.state, fingerprint, now))
+        self._act(quarantine.record_answer(self.state, fingerprint, now))
 
     def note_end(self, ran: Sequence[int]) -> None:
         """Take that the server here ended, and what ran there."""
-        self._act(quarantine.note_end(self.state, ran, asyncio.get_running_loop().time()))
+        self._act(quarantine.record_crash(self.state, ran, asyncio.get_running_loop().time()))
 
     def forget_run(self) -> None:
         """Forget what a run of the server here has answered."""
@@ -68,7 +70,7 @@
         if member.address == self.state.address and member.incarnation >= self._incarnation:
             return
         now = asyncio.get_running_loop().time()
-        self._act(quarantine.hear(self.state, member.address, member.findings, now))
+        self._act(quarantine.receive(self.state, member.address, member.findings, now))
 
     def expire(self, now: float) -> None:
         """Forget what is over."""
@@ -77,11 +79,11 @@
             log.info("quarantine over", extra={"fingerprint": as_text(fingerprint)})
         self._tell()
 
-    def _act(self, decided: Decided) -> None:
+    def _act(self, decided: QuarantineChanges) -> None:
         now = asyncio.get_running_loop().time()
         for fingerprint, told_by in decided.quarantined.items():
             self.counts["quarantined"] += 1
-            for_s = round(quarantine.left(self.state, fingerprint, now))
+            for_s = round(quarantine.remaining(self.state, fingerprint, now))
             told = {"fingerprint": as_text(fingerprint), "told_by": told_by, "for_s": for_s}
             log.warning("request quarantined", extra=told)
         for fingerprint in decided.cleared:
@@ -96,7 +98,7 @@
             return
         new = set(findings) - set(self._published)
         self._published = findings
-        kept = quarantine.kept_findings(self.state)
+        kept = quarantine.persistent_findings(self.state)
         self._publish(findings, kept, any(self._is_urgent(finding, kept) for finding in new))
 
     def _is_urgent(self, finding: Finding, kept: Sequence[Finding]) -> bool:
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -180,7 +180,7 @@
     Mutant(
         "a request under which three servers have ended reaches no other",
         "hornbeamgw/daemon/quarantine.py",
-        (("if not left:\n            return None", "return None"),),
+        (("if not remaining:\n            return None", "return None"),),
         QUARANTINE,
     ),
     Mutant(
@@ -192,7 +192,7 @@
     Mutant(
         "what ran beside the cause is not blamed",
         "hornbeamgw/core/quarantine.py",
-        (("for i in ends))) == 1", "for i in ends))) > 0"),),
+        (("for i in ids))) == 1", "for i in ids))) > 0"),),
         QUARANTINE,
     ),
     Mutant(
--- a/properties/quarantine_machine.py
+++ b/properties/quarantine_machine.py
@@ -14,7 +14,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from hornbeamgw.core import quarantine
-from hornbeamgw.core.finding import MOST_FINDINGS, Finding, FindingKind
+from hornbeamgw.core.finding import MAX_FINDINGS, Finding, FindingKind
 from hornbeamgw.core.quarantine import QuarantineState
 from properties.runs_machine import PROFILE as RUNS_PROFILE
 
@@ -60,17 +60,17 @@
 
     def _hear(self, state: QuarantineState, record: Record) -> None:
         if record[0] != state.address:
-            quarantine.hear(state, *record, self.now)
+            quarantine.receive(state, *record, self.now)
 
     def _is_refused(self, state: QuarantineState, request: int) -> bool:
-        return quarantine.left(state, request, self.now) > 0
+        return quarantine.remaining(state, request, self.now) > 0
 
     @rule(index=daemons, beside=st.sets(st.sampled_from(OTHERS), max_size=3))
     def run_cause(self, index: int, beside: set[int]) -> None:
         """Send the cause to a server, which ends under it and what runs beside it."""
         state = self.states[index]
         if not self._is_refused(state, CAUSE):
-            quarantine.note_end(state, [CAUSE, *beside], self.now)
+            quarantine.record_crash(state, [CAUSE, *beside], self.now)
             self._keep(state)
 
     @rule(index=daemons, request=st.sampled_from(OTHERS))
@@ -78,13 +78,13 @@
         """Send another request, which is answered."""
         state = self.states[index]
         if not self._is_refused(state, request):
-            quarantine.note_answered(state, request, self.now)
+            quarantine.record_answer(state, request, self.now)
             self._keep(state)
 
     @rule(index=daemons, ran=st.sets(st.sampled_from(OTHERS), max_size=3))
     def end_otherwise(self, index: int, ran: set[int]) -> None:
         """End a server by something else."""
-        quarantine.note_end(self.states[index], ran, self.now)
+        quarantine.record_crash(self.states[index], ran, self.now)
         self._keep(self.states[index])
 
     @rule(index=daemons)
@@ -114,18 +114,18 @@
             for finding_id, report in state.reports_by_id.items():
                 for fingerprint in report.fingerprints:
                     named.setdefault(fingerprint, set()).add(finding_id)
-            assert named == state.ends_by_fingerprint
-            assert len(state.told) <= MOST_FINDINGS
-            numbers = [told.finding.number for told in state.told]
+            assert named == state.report_ids_by_fingerprint
+            assert len(state.announced) <= MAX_FINDINGS
+            numbers = [announced.finding.number for announced in state.announced]
             assert len(set(numbers)) == len(numbers)
 
     def _ask_for_all(self, state: QuarantineState) -> None:
         """Send each request once more to a daemon; the cause goes to no server any more."""
         for request in (CAUSE, *OTHERS):
             if self._is_refused(state, request):
-                quarantine.note_refused(state, request)
+                quarantine.record_refusal(state, request)
             elif request != CAUSE:
-                quarantine.note_answered(state, request, self.now)
+                quarantine.record_answer(state, request, self.now)
 
     def teardown(self) -> None:
         """Let all hear all, and check who is refused."""
@@ -147,6 +147,6 @@
             for finding in quarantine.findings(state)
             if finding.kind is FindingKind.ENDED and CAUSE in finding.fingerprints
         }
-        if len(ends) >= quarantine.ENDS_TO_QUARANTINE:
+        if len(ends) >= quarantine.CRASHES_TO_QUARANTINE:
             known = [CAUSE in state.periods_by_fingerprint for state in self.states]
             assert all(known), (ends, known)
