--- a/features/steps/admission.py
+++ b/features/steps/admission.py
@@ -96,7 +96,7 @@
 
 @when("somebody asks about an attempt older than the memory")
 def ask_old(context):
-    age = admission.MEMORY_S
+    age = admission.ATTEMPT_RETENTION_S
     context.answer = admission.resolve(context.state, AttemptId("a", 1, 77), age, 100.0)
 
 
--- a/features/steps/breaker.py
+++ b/features/steps/breaker.py
@@ -157,7 +157,9 @@
 
 @then("nothing is known of how long a lookup takes")
 def nothing_known(context):
-    assert not context.gate.state.times.estimates_by_route, context.gate.state.times
+    assert (
+        not context.gate.state.service_time_estimates.estimates_by_route
+    ), context.gate.state.service_time_estimates
 
 
 @then("the rest did not run and are told when to come back")
--- a/features/steps/queueing.py
+++ b/features/steps/queueing.py
@@ -16,7 +16,7 @@
 
 
 def learn(state, kind, work_ms):
-    service_times.note(state.times, kind, work_ms / 1000)
+    service_times.note(state.service_time_estimates, kind, work_ms / 1000)
 
 
 def arrive(context, kind, work_ms, objective_ms, now=None, **fields):
@@ -32,7 +32,7 @@
         kind,
         fields.pop("objective", now + aim),
         aim,
-        **{"priority": 1, "arrived": now, **fields},
+        **{"priority": 1, "arrived_at": now, **fields},
     )
     context.decisions = [admission.admit(context.state, request, simulated.SERVICE, now)]
     return context.decisions[0]
@@ -107,7 +107,7 @@
 )
 def returned_lookup(context, elapsed, objective):
     left = (objective - elapsed) / 1000
-    arrive(context, "lookup", 60, objective, objective=context.now + left, came_back=True)
+    arrive(context, "lookup", 60, objective, objective=context.now + left, is_retry=True)
 
 
 @when("a slot is free")
--- a/features/steps/reborn.py
+++ b/features/steps/reborn.py
@@ -113,7 +113,7 @@
         context.link = SilentLink()
         context.gate.on_frame(context.link, call_frame())
         await asyncio.sleep(0.05)
-        service_times.note(context.gate.state.times, "r-0", 4.0)
+        service_times.note(context.gate.state.service_time_estimates, "r-0", 4.0)
         context.gate.announce(announcement(context.address, 1000, ServerState.DRAINING))
         assert not context.link.sent, context.link.sent
 
@@ -155,7 +155,7 @@
 def fresh(context):
     state = context.gate.state
     assert state.server_state is ServerState.SERVING
-    assert not state.times.estimates_by_route
+    assert not state.service_time_estimates.estimates_by_route
     assert not state.running_by_attempt
 
 
--- a/features/steps/sampling.py
+++ b/features/steps/sampling.py
@@ -103,24 +103,24 @@
 
 def request(number, aim):
     attempt = AttemptId("a", 1, number)
-    return Request(attempt, "all", WIDE, NOW + 1.0, "lookup", NOW + aim, aim, 1, arrived=NOW)
+    return Request(attempt, "all", WIDE, NOW + 1.0, "lookup", NOW + aim, aim, 1, arrived_at=NOW)
 
 
 @given("a server with {slots:d} slots that are taken for {ms:d} ms more")
 def taken(context, slots, ms):
     context.state = simulated.new_server("objective", slots)
     for number in range(slots):
-        service_times.note(context.state.times, "lookup", ms / 1000)
+        service_times.note(context.state.service_time_estimates, "lookup", ms / 1000)
         admission.admit(context.state, request(number, 1.0), simulated.SERVICE, NOW)
 
 
 @then("a lookup that can wait is told it would be taken, and is")
 def can_wait(context):
-    context.fates = dict(context.state.fates_by_attempt)
+    context.fates = dict(context.state.records_by_attempt)
     wanted = request(10, 0.5)
     told = admission.outlook(context.state, wanted, simulated.SERVICE, NOW)
-    assert told.takes and abs(told.wait - 0.1) < 0.02, told
-    context.untouched = (list(context.state.queue), dict(context.state.fates_by_attempt))
+    assert told.would_admit and abs(told.wait - 0.1) < 0.02, told
+    context.untouched = (list(context.state.queue), dict(context.state.records_by_attempt))
     assert isinstance(admission.admit(context.state, wanted, simulated.SERVICE, NOW), Queued)
 
 
@@ -128,7 +128,7 @@
 def cannot_wait(context):
     wanted = request(11, 0.15)
     told = admission.outlook(context.state, wanted, simulated.SERVICE, NOW)
-    assert not told.takes and told.retry_after_ms > 0, told
+    assert not told.would_admit and told.retry_after_ms > 0, told
     assert isinstance(admission.admit(context.state, wanted, simulated.SERVICE, NOW), Refused)
 
 
@@ -139,7 +139,7 @@
 
 @given("{count:d} reports of {ms:d} ms that wait there")
 def reports_wait(context, count, ms):
-    service_times.note(context.state.times, "report", ms / 1000)
+    service_times.note(context.state.service_time_estimates, "report", ms / 1000)
     for number in range(count):
         report = request(100 + number, 2.0)._replace(route="report", deadline=NOW + 5.0)
         assert isinstance(admission.admit(context.state, report, simulated.SERVICE, NOW), Queued)
@@ -147,7 +147,7 @@
 
 @then("a check of {ms:d} ms is told a wait of about {wait:d} ms")
 def check_wait(context, ms, wait):
-    service_times.note(context.state.times, "check", ms / 1000)
+    service_times.note(context.state.service_time_estimates, "check", ms / 1000)
     check = request(200, 1.0)._replace(route="check")
     told = admission.outlook(context.state, check, simulated.SERVICE, NOW)
-    assert told.takes and abs(told.wait - wait / 1000) < 0.02, told
+    assert told.would_admit and abs(told.wait - wait / 1000) < 0.02, told
--- a/hornbeamgw/core/admission.py
+++ b/hornbeamgw/core/admission.py
@@ -1,8 +1,8 @@
-"""Admission: the only place that lets a request reach a backend server.
+"""Admission: decides whether a request starts, is queued or is rejected at a backend server.
 
-It alone knows whether its server drains, has free slots or is cold, so its refusal proves that
-a request did not run. A caller that lost its link asks here by attempt id; a request that was
-never admitted is then fenced, and refused should it arrive late.
+Every request to a backend server passes through admission, so a rejection proves that the request
+did not run. After a connection loss the caller's daemon resolves an attempt by its id: an attempt
+that was never admitted is fenced, and rejected if it arrives later.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from hornbeamgw.core.membership import ServerState
 from hornbeamgw.core.service_times import ServiceTimes
 from hornbeamgw.core.slots import (
-    FIRST_SERVICE_TIME_S,
+    INITIAL_SERVICE_TIME_S,
     AdmissionState,
     Admitted,
     AttemptId,
-    Decided,
+    AttemptRecord,
+    AttemptStatus,
     Decision,
-    Fate,
     Outlook,
     Queued,
     Refused,
@@ -36,7 +36,7 @@
     "Request",
     "admit",
     "drain",
-    "expected_length",
+    "expected_service_time",
     "expected_wait",
     "finish",
     "forget_run",
@@ -47,34 +47,34 @@
     "withdraw",
 ]
 
-MEMORY_S = 60.0
-MEMORY_MAX = 100_000
-SERVICE_TIME_WEIGHT = 0.1
+ATTEMPT_RETENTION_S = 60.0
+MAX_ATTEMPT_RECORDS = 100_000
+SERVICE_TIME_EWMA_WEIGHT = 0.1
 RETRY_AFTER_DRAIN_MS = 50
 
 
-def _was_admitted(known: Decided) -> bool:
-    return known.fate in (Fate.RUNNING, Fate.FINISHED)
+def _was_admitted(known: AttemptRecord) -> bool:
+    return known.status in (AttemptStatus.RUNNING, AttemptStatus.FINISHED)
 
 
 def free_slots(state: AdmissionState) -> int:
-    """Return the slots that nothing runs or waits for."""
+    """Return the number of slots that no running or queued request needs."""
     if state.server_state is not ServerState.SERVING:
         return 0
     return max(0, state.slots - len(state.running_by_attempt) - len(state.queue))
 
 
 def expected_wait(state: AdmissionState, now: float) -> float:
-    """Return how long (s) a request that arrives now is expected to wait for a slot."""
-    return queueing.wait_for_newcomer(state, now)
+    """Return the expected wait for a slot in seconds, for a request that arrives now."""
+    return queueing.expected_wait(state, now)
 
 
-def expected_length(state: AdmissionState, request: Request, now: float) -> float:
-    """Return how long (s) a request is expected to hold its slot."""
-    return queueing.length(state, request, now)
+def expected_service_time(state: AdmissionState, request: Request, now: float) -> float:
+    """Return the expected service time of a request in seconds."""
+    return queueing.expected_service_time(state, request, now)
 
 
-def _held_for_others(state: AdmissionState, entry: str) -> int:
+def _reserved_for_others(state: AdmissionState, entry: str) -> int:
     running = state.running_count_by_entry
     return sum(
         max(0, reserved - running.get(name, 0))
@@ -90,38 +90,44 @@
     free = state.slots - len(state.running_by_attempt)
     if running < request.limits.reserved:
         return free > 0
-    held = _held_for_others(state, request.entry)
-    if free != held + 1:
-        return free > held
+    reserved_for_others = _reserved_for_others(state, request.entry)
+    if free != reserved_for_others + 1:
+        return free > reserved_for_others
     return not state.policy.keeps_last_slot(state, request, now)
 
 
-def _remember(state: AdmissionState, attempt: AttemptId, fate: Fate, now: float) -> None:
-    fates = state.fates_by_attempt
-    fates[attempt] = Decided(fate, now)
-    fates.move_to_end(attempt)
-    while fates:
-        oldest = next(iter(fates))
-        expired = now - fates[oldest].at > MEMORY_S or len(fates) > MEMORY_MAX
-        if not expired or fates[oldest].fate is Fate.RUNNING:
+def _record_status(
+    state: AdmissionState, attempt: AttemptId, status: AttemptStatus, now: float
+) -> None:
+    records = state.records_by_attempt
+    records[attempt] = AttemptRecord(status, now)
+    records.move_to_end(attempt)
+    while records:
+        oldest = next(iter(records))
+        expired = (
+            now - records[oldest].at > ATTEMPT_RETENTION_S or len(records) > MAX_ATTEMPT_RECORDS
+        )
+        if not expired or records[oldest].status is AttemptStatus.RUNNING:
             return
-        del fates[oldest]
+        del records[oldest]
 
 
 def _retry_after_ms(state: AdmissionState, request: Request, reason: Reason, now: float) -> int:
     if reason in (Reason.NO_SLOT, Reason.QUEUE_TIMEOUT):
-        return max(1, round(1000 * state.policy.room_after(state, request, now)))
+        return max(1, round(1000 * state.policy.retry_after(state, request, now)))
     return RETRY_AFTER_DRAIN_MS
 
 
 def _refuse(state: AdmissionState, request: Request, reason: Reason, now: float) -> Refused:
-    _remember(state, request.attempt, Fate.REFUSED, now)
+    _record_status(state, request.attempt, AttemptStatus.REFUSED, now)
     retry_after_ms = _retry_after_ms(state, request, reason, now)
     return Refused(request, not_run(reason, retry_after_ms=retry_after_ms))
 
 
-def _unable(state: AdmissionState, request: Request, service: str, now: float) -> Reason | None:
-    """Return why a request can't be served here at all."""
+def _unavailable_reason(
+    state: AdmissionState, request: Request, service: str, now: float
+) -> Reason | None:
+    """Return why the backend server can't serve a request, or None if it can."""
     if state.server_state is ServerState.DRAINING:
         return Reason.DRAINING
     if state.server_state is ServerState.STARTING:
@@ -135,8 +141,8 @@
     return _has_slot(state, request, now) and state.policy.may_start(state, request, now)
 
 
-def _unfit_to_wait(state: AdmissionState, request: Request, now: float) -> Reason | None:
-    """Return why a request may not wait for a slot."""
+def _queue_refusal(state: AdmissionState, request: Request, now: float) -> Reason | None:
+    """Return why a request may not wait for a slot, or None if it may."""
     waiting = sum(queued.entry == request.entry for queued in state.queue)
     if waiting >= request.limits.queue:
         return Reason.NO_SLOT
@@ -146,25 +152,25 @@
 def _start(state: AdmissionState, request: Request, now: float) -> Admitted:
     state.running_by_attempt[request.attempt] = request
     state.started_by_attempt[request.attempt] = now
-    queueing.note_start(state, request, now)
+    queueing.record_start(state, request, now)
     count = state.running_count_by_entry.get(request.entry, 0)
     state.running_count_by_entry[request.entry] = count + 1
-    _remember(state, request.attempt, Fate.RUNNING, now)
+    _record_status(state, request.attempt, AttemptStatus.RUNNING, now)
     return Admitted(request)
 
 
 def admit(state: AdmissionState, request: Request, service: str, now: float) -> Decision:
-    """Decide on a request that has just arrived."""
-    known = state.fates_by_attempt.get(request.attempt)
+    """Start, queue or reject a request that has just arrived."""
+    known = state.records_by_attempt.get(request.attempt)
     if known is not None:
         failure = may_have_run if _was_admitted(known) else not_run
         return Refused(request, failure(Reason.FENCED))
-    reason = _unable(state, request, service, now)
+    reason = _unavailable_reason(state, request, service, now)
     if reason is not None:
         return _refuse(state, request, reason, now)
     if _may_start(state, request, now):
         return _start(state, request, now)
-    reason = _unfit_to_wait(state, request, now)
+    reason = _queue_refusal(state, request, now)
     if reason is not None:
         return _refuse(state, request, reason, now)
     state.queue.append(request)
@@ -172,24 +178,24 @@
 
 
 def outlook(state: AdmissionState, request: Request, service: str, now: float) -> Outlook:
-    """Return what a request could expect if it came now; nothing is decided by that."""
-    reason = _unable(state, request, service, now)
+    """Return what `admit` would decide on a request now, without admitting it."""
+    reason = _unavailable_reason(state, request, service, now)
     if reason is None and _may_start(state, request, now):
         return Outlook(True, 0.0)
-    reason = reason or _unfit_to_wait(state, request, now)
+    reason = reason or _queue_refusal(state, request, now)
     if reason is None:
         return Outlook(True, state.policy.wait(state, request, now))
     return Outlook(False, 0.0, _retry_after_ms(state, request, reason, now))
 
 
 def next_decisions(state: AdmissionState, now: float) -> list[Decision]:
-    """Drop queued requests that can't be served in time and start those with a slot."""
+    """Reject queued requests that would end too late and start those that find a slot."""
     if not state.queue:
         return []
-    late = state.policy.too_late(state, now)
-    state.queue = [r for r in state.queue if r not in late]
+    timed_out = state.policy.too_late(state, now)
+    state.queue = [r for r in state.queue if r not in timed_out]
     decisions: list[Decision] = [
-        _refuse(state, request, Reason.QUEUE_TIMEOUT, now) for request in late
+        _refuse(state, request, Reason.QUEUE_TIMEOUT, now) for request in timed_out
     ]
     for request in state.policy.order(state, now):
         if _has_slot(state, request, now):
@@ -203,55 +209,57 @@
     attempt: AttemptId,
     started: float,
     now: float,
-    has_worked: bool = True,
+    was_processed: bool = True,
 ) -> list[Decision]:
-    """Free the slot of a request and return what its end lets happen.
+    """Free the slot of a request and return the decisions that follow for queued requests.
 
-    How long it held the slot counts as time of service only where the server has worked on it.
+    The service time is recorded only if the server has processed the request.
     """
     request = state.running_by_attempt.pop(attempt)
-    is_of_this_run = state.started_by_attempt.pop(attempt, None) is not None
+    is_current_run = state.started_by_attempt.pop(attempt, None) is not None
     state.running_count_by_entry[request.entry] -= 1
-    _remember(state, attempt, Fate.FINISHED, now)
-    if is_of_this_run and has_worked:
-        state.service_time += SERVICE_TIME_WEIGHT * (now - started - state.service_time)
-        service_times.note(state.times, request.route, now - started)
+    _record_status(state, attempt, AttemptStatus.FINISHED, now)
+    if is_current_run and was_processed:
+        state.mean_service_time += SERVICE_TIME_EWMA_WEIGHT * (
+            now - started - state.mean_service_time
+        )
+        service_times.note(state.service_time_estimates, request.route, now - started)
     return next_decisions(state, now)
 
 
 def withdraw(state: AdmissionState, attempt: AttemptId, now: float) -> bool:
-    """Take a queued request out of the queue; it has not run."""
+    """Remove a request from the queue; return whether it was queued, and so has not run."""
     kept = [request for request in state.queue if request.attempt != attempt]
     found = len(kept) < len(state.queue)
     state.queue = kept
     if found:
-        _remember(state, attempt, Fate.REFUSED, now)
+        _record_status(state, attempt, AttemptStatus.REFUSED, now)
     return found
 
 
 def drain(state: AdmissionState, now: float) -> list[Decision]:
-    """Take no new work from now on and refuse what waits."""
+    """Stop admitting requests and reject all queued ones."""
     state.server_state = ServerState.DRAINING
     waiting, state.queue = state.queue, []
     return [_refuse(state, request, Reason.DRAINING, now) for request in waiting]
 
 
 def forget_run(state: AdmissionState) -> None:
-    """Forget how fast the backend server was: another run of it has been started."""
-    state.times = ServiceTimes()
+    """Reset the service time statistics when a new server process starts."""
+    state.service_time_estimates = ServiceTimes()
     state.slacks_by_route.clear()
-    state.uses_by_route.clear()
+    state.slot_use_by_route.clear()
     state.started_by_attempt.clear()
-    state.service_time = FIRST_SERVICE_TIME_S
+    state.mean_service_time = INITIAL_SERVICE_TIME_S
 
 
 def resolve(state: AdmissionState, attempt: AttemptId, age: float, now: float) -> Verdict:
-    """Answer whether an attempt of this age (s) ran; one never admitted is fenced for good."""
-    known = state.fates_by_attempt.get(attempt)
-    if known is None and age >= MEMORY_S:
+    """Return whether an attempt of this age (s) may have run; fence it if it was not admitted."""
+    known = state.records_by_attempt.get(attempt)
+    if known is None and age >= ATTEMPT_RETENTION_S:
         return Verdict.MAY_HAVE_RUN
     if known is not None and _was_admitted(known):
         return Verdict.MAY_HAVE_RUN
     withdraw(state, attempt, now)
-    _remember(state, attempt, Fate.FENCED, now)
+    _record_status(state, attempt, AttemptStatus.FENCED, now)
     return Verdict.NOT_RUN
--- a/hornbeamgw/core/slots.py
+++ b/hornbeamgw/core/slots.py
@@ -1,4 +1,4 @@
-"""Slots: the backend server as it announced itself, what runs and waits there, and what did."""
+"""Slots: admission state of one backend server, and the interface of queue policies."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from hornbeamgw.core.snapshot import Limits
 from hornbeamgw.core.verdict import Failure, Reason
 
-FIRST_SERVICE_TIME_S = 0.005
+INITIAL_SERVICE_TIME_S = 0.005
 
 
 class AttemptId(NamedTuple):
-    """Identify one attempt of one daemon process."""
+    """Identify an attempt, unique per daemon process."""
 
     member: str
     incarnation: int
@@ -25,11 +25,21 @@
 
 
 class Request(NamedTuple):
-    """Hold what admission needs to know of an attempt; times as the clock of the caller shows.
-
-    Its objective is the time by which an answer has its full worth, counted from the first time
-    the caller asked. A caller that came back was refused before. The transfer (s) is what its
-    answer takes to leave this VM once the server has given it.
+    """Hold the properties of an attempt that admission uses.
+
+    Attributes
+    ----------
+    deadline, objective, arrived_at : float
+        Points in time (s) on the clock that is passed to admission as `now`. The objective is the
+        time by which the answer should arrive, counted from the caller's first try.
+    latency_objective : float
+        Latency objective of the route, in seconds.
+    priority : int
+        Lower values are more urgent.
+    is_retry : bool
+        Whether the caller retries after a refusal.
+    transfer : float
+        Expected time in seconds to send the answer from this VM.
     """
 
     attempt: AttemptId
@@ -38,15 +48,15 @@
     deadline: float
     route: str = ""
     objective: float = math.inf
-    aim: float = 1.0
+    latency_objective: float = 1.0
     priority: int = 0
-    came_back: bool = False
+    is_retry: bool = False
     transfer: float = 0.0
-    arrived: float = 0.0
+    arrived_at: float = 0.0
 
 
-class Fate(enum.StrEnum):
-    """Say what became of an attempt that was decided here."""
+class AttemptStatus(enum.StrEnum):
+    """Enumerate the states of an attempt that reached admission."""
 
     REFUSED = "refused"
     RUNNING = "running"
@@ -55,19 +65,19 @@
 
 
 class Admitted(NamedTuple):
-    """Let a request run now."""
+    """Decide that a request runs now."""
 
     request: Request
 
 
 class Queued(NamedTuple):
-    """Hold a request until a slot is free."""
+    """Decide that a request waits until a slot is free."""
 
     request: Request
 
 
 class Refused(NamedTuple):
-    """Turn a request away; it does not run by this decision."""
+    """Decide that a request is rejected and does not run."""
 
     request: Request
     failure: Failure
@@ -77,25 +87,39 @@
 
 
 class Outlook(NamedTuple):
-    """Tell whether a request would be taken, the wait (s), and else when there is room (ms)."""
+    """Hold whether a request would be admitted or queued, its wait (s), and else a retry delay."""
 
-    takes: bool
+    would_admit: bool
     wait: float
     retry_after_ms: int = 0
 
 
 class QueuePolicy(NamedTuple):
-    """Hold who may start, who may wait, who goes next, who gives up, and when there is room.
-
-    The last slot that is free may be kept for more urgent requests. The time until there is room,
-    and the wait of one that may wait, are in seconds from now.
+    """Hold the functions of a queue policy.
+
+    Attributes
+    ----------
+    may_start : callable
+        Return whether a request may take a free slot at once.
+    refusal : callable
+        Return why a request may not be queued, or None.
+    order : callable
+        Return the queued requests in the order in which they start.
+    too_late : callable
+        Return the queued requests to reject because they would end too late.
+    retry_after : callable
+        Return the delay in seconds after which a rejected request may find a slot.
+    wait : callable
+        Return the expected wait of a queued request in seconds.
+    keeps_last_slot : callable
+        Return whether the last free slot is kept for more urgent requests.
     """
 
     may_start: Callable[[AdmissionState, Request, float], bool]
     refusal: Callable[[AdmissionState, Request, float], Reason | None]
     order: Callable[[AdmissionState, float], list[Request]]
     too_late: Callable[[AdmissionState, float], list[Request]]
-    room_after: Callable[[AdmissionState, Request, float], float]
+    retry_after: Callable[[AdmissionState, Request, float], float]
     wait: Callable[[AdmissionState, Request, float], float]
     keeps_last_slot: Callable[[AdmissionState, Request, float], bool]
 
@@ -103,46 +127,46 @@
 policies_by_name: dict[str, QueuePolicy] = {}
 
 
-class Decided(NamedTuple):
-    """Hold what became of an attempt, and when."""
+class AttemptRecord(NamedTuple):
+    """Hold the latest status of an attempt, and the time (s) it was set."""
 
-    fate: Fate
+    status: AttemptStatus
     at: float
 
 
-class Slack(NamedTuple):
-    """Hold how long (s) requests of a route can wait, and how long they hold a slot."""
+class RouteSlack(NamedTuple):
+    """Hold how long requests of a route can wait, their service time and the last arrival (s)."""
 
     slack: float
-    length: float
+    expected_service_time: float
     priority: int
     seen_at: float
 
 
-class Use(NamedTuple):
-    """Hold how many slots a route used on average until a time (s)."""
+class SlotUse(NamedTuple):
+    """Hold the average number of slots that a route used up to a time (s)."""
 
     slots: float
     at: float
 
 
 class AdmissionState:
-    """Hold the backend server as it announced itself, and what runs and waits there."""
+    """Hold a backend server's announced state, its running and its queued requests."""
 
     def __init__(self, policy: str = "deadline") -> None:
-        """Start without a backend server; take the policy of what may wait."""
+        """Start without a backend server; `policy` names the queue policy."""
         self.service = ""
         self.slots = 0
         self.server_state = ServerState.NONE
         self.running_by_attempt: dict[AttemptId, Request] = {}
         self.running_count_by_entry: dict[str, int] = {}
         self.queue: list[Request] = []
-        self.fates_by_attempt: OrderedDict[AttemptId, Decided] = OrderedDict()
+        self.records_by_attempt: OrderedDict[AttemptId, AttemptRecord] = OrderedDict()
         self.reserved_by_entry: Mapping[str, int] = {}
-        self.service_time = FIRST_SERVICE_TIME_S
-        self.times = ServiceTimes()
-        self.slacks_by_route: dict[str, Slack] = {}
-        self.uses_by_route: dict[str, Use] = {}
+        self.mean_service_time = INITIAL_SERVICE_TIME_S
+        self.service_time_estimates = ServiceTimes()
+        self.slacks_by_route: dict[str, RouteSlack] = {}
+        self.slot_use_by_route: dict[str, SlotUse] = {}
         self.started_by_attempt: dict[AttemptId, float] = {}
         self.warm_at = 0.0
         self.policy = policies_by_name[policy]
--- a/hornbeamgw/core/tally.py
+++ b/hornbeamgw/core/tally.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from hornbeamgw.core.queueing import COLD_FACTOR
+from hornbeamgw.core.queueing import COLD_SERVICE_TIME_FACTOR
 from hornbeamgw.core.service_times import GUESS_OF_OBJECTIVE
 from hornbeamgw.core.verdict import Failure, Reason
 
@@ -58,7 +58,7 @@
 
 def slow_after(typical: float, aim: float, is_cold: bool) -> float:
     """Return after how long (s) a request is slow, by what is typical (s or 0) or its objective."""
-    times = SLOW_TIMES * (COLD_FACTOR if is_cold else 1.0)
+    times = SLOW_TIMES * (COLD_SERVICE_TIME_FACTOR if is_cold else 1.0)
     return times * (typical or GUESS_OF_OBJECTIVE * aim)
 
 
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -315,8 +315,10 @@
         free = admission.free_slots(self.state)
         wait = outlook.wait + request.transfer
         wait_ms = min(MAX_WAIT_MS, round(wait * 1000))
-        self.counts["outlooks.taken" if outlook.takes else "outlooks.refused"] += 1
-        return frames.Outlook(asked.number, outlook.takes, free, wait_ms, outlook.retry_after_ms)
+        self.counts["outlooks.taken" if outlook.would_admit else "outlooks.refused"] += 1
+        return frames.Outlook(
+            asked.number, outlook.would_admit, free, wait_ms, outlook.retry_after_ms
+        )
 
     def _on_question(self, link: Link, attempt: AttemptId, question: frames.Question) -> None:
         now = asyncio.get_running_loop().time()
--- a/hornbeamgw/daemon/gates.py
+++ b/hornbeamgw/daemon/gates.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from hornbeamgw.core import stopping
-from hornbeamgw.core.admission import MEMORY_S, AttemptId
+from hornbeamgw.core.admission import ATTEMPT_RETENTION_S, AttemptId
 from hornbeamgw.core.membership import FurtherServer, ServerState
 from hornbeamgw.core.options import split_address
 from hornbeamgw.core.registration import Announcement
@@ -180,7 +180,7 @@
         for number, gate in list(self._gates_by_number.items()):
             if gate.announcement is not None or not gate.idle.is_set():
                 self._unused_at_by_number.pop(number, None)
-            elif now - self._unused_at_by_number.setdefault(number, now) > MEMORY_S:
+            elif now - self._unused_at_by_number.setdefault(number, now) > ATTEMPT_RETENTION_S:
                 del self._unused_at_by_number[number]
                 self._close(number)
 
--- a/hornbeamgw/daemon/server_exchange.py
+++ b/hornbeamgw/daemon/server_exchange.py
@@ -131,7 +131,7 @@
         request = self._state.running_by_attempt.get(attempt.id)
         if request is None:
             return
-        expected = admission.expected_length(self._state, request, now)
+        expected = admission.expected_service_time(self._state, request, now)
         if not breaker.is_early(now - attempt.started_at, expected):
             return
         if breaker.note_broken(self.breaker, now):
--- a/hornbeamgw/testing/simulated.py
+++ b/hornbeamgw/testing/simulated.py
@@ -94,7 +94,9 @@
 def _request(attempt: AttemptId, arrival: Arrival) -> Request:
     now, kind = arrival.at, arrival.kind
     deadline, objective = now + kind.deadline, now + kind.aim
-    return Request(attempt, "all", WIDE, deadline, kind.name, objective, kind.aim, 1, arrived=now)
+    return Request(
+        attempt, "all", WIDE, deadline, kind.name, objective, kind.aim, 1, arrived_at=now
+    )
 
 
 class Fleet:
@@ -187,7 +189,7 @@
                 server = self._index_by_address[candidate.member.address]
                 state = self._states[server]
                 self._report(server, daemon, arrival.at)
-                if admission.outlook(state, request, SERVICE, arrival.at).takes:
+                if admission.outlook(state, request, SERVICE, arrival.at).would_admit:
                     takers.append(candidate)
             found = sampling.best(choice, takers)
             if found is not None and sampling.is_good(found.load.wait, choice.aim):
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -168,7 +168,7 @@
     Mutant(
         "long work leaves a slot to short urgent calls",
         "hornbeamgw/core/queueing.py",
-        (("    if use < LEAST_USE_TO_HOLD:\n", "    if True:\n"),),
+        (("    if slot_use < MIN_SLOT_USE_TO_KEEP_LAST:\n", "    if True:\n"),),
         QUEUEING,
     ),
     Mutant(
@@ -326,7 +326,7 @@
     Mutant(
         "an attempt never admitted is fenced",
         "hornbeamgw/core/admission.py",
-        (("    _remember(state, attempt, Fate.FENCED, now)\n", ""),),
+        (("    _record_status(state, attempt, AttemptStatus.FENCED, now)\n", ""),),
         ADMISSION,
     ),
     Mutant(
@@ -334,8 +334,8 @@
         "hornbeamgw/core/admission.py",
         (
             (
-                "    withdraw(state, attempt, now)\n    _remember(",
-                "    _remember(",
+                "    withdraw(state, attempt, now)\n    _record_status(",
+                "    _record_status(",
             ),
         ),
         ADMISSION,
@@ -343,7 +343,12 @@
     Mutant(
         "a running attempt may have run",
         "hornbeamgw/core/admission.py",
-        (("known.fate in (Fate.RUNNING, Fate.FINISHED)", "known.fate is Fate.FINISHED"),),
+        (
+            (
+                "known.status in (AttemptStatus.RUNNING, AttemptStatus.FINISHED)",
+                "known.status is AttemptStatus.FINISHED",
+            ),
+        ),
         ADMISSION,
     ),
     Mutant(
