--- a/hornbeamgw/core/dialect.py
+++ b/hornbeamgw/core/dialect.py
@@ -1,4 +1,4 @@
-"""Dialects: the headers by which callers, daemons and backend servers understand one another."""
+"""Dialects: HTTP headers exchanged between callers, daemons and backend servers."""
 
 from __future__ import annotations
 
@@ -9,12 +9,30 @@
 
 
 class Dialect(NamedTuple):
-    """Name the headers of requests and answers, in lower case; an empty name is not used.
-
-    What only some platforms have starts empty: the header in which a backend server names itself as
-    it answers a health check, the header by which a backend server proves that
-    an answer is its own, the one by which it says that a request did not run, and the statuses
-    that say so by themselves. A caller identifies itself by the headers that identify it.
+    """Hold the header names of requests and answers, in lower case; empty names are not used.
+
+    Attributes
+    ----------
+    call_id, deadline_ms, retry_budget : bytes
+        Headers with the id of a call, its remaining time in milliseconds, and its retry budget.
+    caller_service : bytes
+        Header that names the service of the caller.
+    expected_instance : bytes
+        Header that names the server instance for which a request is meant.
+    instance : bytes
+        Header in which a backend server identifies its instance in a health check.
+    signature : bytes
+        Header that proves that an answer was made by the backend server.
+    not_run : bytes
+        Header that states that the backend server did not run the request.
+    other_instance_status : int
+        Status with which another instance rejects a request without running it; 0 if unused.
+    echoes_call_id : bool
+        Whether answers repeat the id of the call.
+    fractional_retry_after : bool
+        Whether `retry-after` headers may contain fractions of a second.
+    identifies_caller : tuple of bytes
+        Headers that identify a caller.
     """
 
     call_id: bytes = b"hornbeamgw-call-id"
@@ -32,7 +50,7 @@
 
     @property
     def set_by_daemons(self) -> frozenset[bytes]:
-        """Return the headers that a daemon sets itself, whatever the caller sent."""
+        """Return the headers that a daemon sets itself, replacing those of the caller."""
         return frozenset({self.deadline_ms, self.retry_budget, self.caller_service} - {b""})
 
 
@@ -40,39 +58,39 @@
 dialects_by_name: dict[str, Dialect] = {"hornbeamgw": HORNBEAMGW}
 
 
-class Answer(NamedTuple):
-    """Hold the head of what a backend server sent."""
+class AnswerHead(NamedTuple):
+    """Hold the status and headers of an answer from a backend server."""
 
     status: int
     headers: Collection[tuple[bytes, bytes]]
 
 
-def _value(headers: Headers, name: bytes) -> bytes | None:
+def _header_value(headers: Headers, name: bytes) -> bytes | None:
     return next((value for key, value in headers if key == name), None)
 
 
-def says_not_run(dialect: Dialect, answer: Answer) -> bool:
+def says_not_run(dialect: Dialect, answer: AnswerHead) -> bool:
     """Return whether an answer proves that the backend server did not run the request."""
     if dialect.other_instance_status and answer.status == dialect.other_instance_status:
         return True
-    return bool(dialect.not_run) and _value(answer.headers, dialect.not_run) is not None
+    return bool(dialect.not_run) and _header_value(answer.headers, dialect.not_run) is not None
 
 
-def belongs_to(dialect: Dialect, answer: Answer, call_id: bytes) -> bool:
-    """Return whether an answer is one to this request, where answers echo its id."""
+def is_answer_to(dialect: Dialect, answer: AnswerHead, call_id: bytes) -> bool:
+    """Return whether an answer belongs to this call, as far as answers echo the call id."""
     if not dialect.echoes_call_id:
         return True
-    return _value(answer.headers, dialect.call_id) in (None, call_id)
+    return _header_value(answer.headers, dialect.call_id) in (None, call_id)
 
 
-def spoilt(dialect: Dialect, answer: Answer, call_id: bytes) -> str:
-    """Return why a success can't be the backend server's own, or an empty text."""
+def invalid_reason(dialect: Dialect, answer: AnswerHead, call_id: bytes) -> str:
+    """Return why a successful answer is not valid, or an empty string."""
     if not 200 <= answer.status < 300:
         return ""
-    if dialect.signature and _value(answer.headers, dialect.signature) is None:
+    if dialect.signature and _header_value(answer.headers, dialect.signature) is None:
         return "a success without the signature of the backend server"
-    if dialect.signature and _value(answer.headers, b"content-encoding") is not None:
+    if dialect.signature and _header_value(answer.headers, b"content-encoding") is not None:
         return "a success with an encoding that nobody asked for"
-    if dialect.echoes_call_id and _value(answer.headers, dialect.call_id) != call_id:
+    if dialect.echoes_call_id and _header_value(answer.headers, dialect.call_id) != call_id:
         return "a success without the id of the request"
     return ""
--- a/hornbeamgw/core/fingerprint.py
+++ b/hornbeamgw/core/fingerprint.py
@@ -1,4 +1,4 @@
-"""Fingerprint: knows a request again that comes anew under another id."""
+"""Fingerprints: identify repeated requests with equal content but different ids."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from collections.abc import Iterable
 
 UNKNOWN = 0
-# With 64 quarantined requests and 260,000 calls/s a call is taken for another once in 35,000 years.
-SIZE_BYTES = 8
-LENGTH_BYTES = 8
+# Collisions with a quarantined request are negligible at 64 bits.
+FINGERPRINT_BYTES = 8
+LENGTH_PREFIX_BYTES = 8
 
 
 def fingerprint_of(parts: Iterable[bytes]) -> int:
-    """Return the number that stands for the parts of a request, each told apart by its length."""
-    digest = hashlib.blake2b(digest_size=SIZE_BYTES)
+    """Return a hash of the parts of a request, each prefixed with its length; never `UNKNOWN`."""
+    digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in parts:
-        digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
+        digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES, "big"))
         digest.update(part)
     return int.from_bytes(digest.digest(), "big") or 1
 
 
 def as_text(fingerprint: int) -> str:
-    """Return a fingerprint as logs show it."""
+    """Return a fingerprint in hexadecimal, as used in logs."""
     return f"{fingerprint:016x}"
--- a/hornbeamgw/core/queueing.py
+++ b/hornbeamgw/core/queueing.py
@@ -9,8 +9,8 @@
 - shorter requests still find a slot in time.
 
 Other requests are rejected at once, so that the caller's daemon can try another server. A queued
-request is dropped only for a more urgent one, or once its deadline can no longer be met. A request
-that will miss its objective but not its deadline runs only if enough slots are free.
+request is dropped only if more urgent ones delay it too much, or if its deadline can no longer be
+met. A request that will miss its objective but not its deadline runs only if enough slots are free.
 
 Long requests leave the last free slot to short, more urgent ones, whose callers hold a slot of
 another service while they wait.
@@ -39,7 +39,7 @@
 # Part of the time to the deadline that a request may plan to use.
 DEADLINE_USE_RATIO = 0.85
 # A request waits at most this part of the time that shorter requests can wait. A route counts as
-# shorter if its service time is below `SHORTER_WORK_RATIO` and it was seen recently.
+# shorter if its service time is below this part of the request's and it was seen recently.
 MAX_SLACK_USE_RATIO = 0.5
 SHORTER_WORK_RATIO = 0.5
 SLACK_RETENTION_S = 2.0
@@ -50,7 +50,8 @@
 MIN_SLOTS_TO_KEEP_LAST = 4
 MIN_SLOT_USE_TO_KEEP_LAST = 0.25
 SLOT_USE_TIME_CONSTANT_S = 2.0
-# Slots that must stay free when a request starts that will miss its objective.
+# Other slots that must stay free when a request starts that will miss its objective, unless it is a
+# retry.
 MIN_SPARE_SLOTS_FOR_LATE = 1
 
 
--- a/hornbeamgw/core/slots.py
+++ b/hornbeamgw/core/slots.py
@@ -17,7 +17,7 @@
 
 
 class AttemptId(NamedTuple):
-    """Identify an attempt, unique per daemon process."""
+    """Identify an attempt by the daemon that makes it, its incarnation, and a number."""
 
     member: str
     incarnation: int
--- a/hornbeamgw/core/stopping.py
+++ b/hornbeamgw/core/stopping.py
@@ -1,25 +1,27 @@
-"""Stopping: what a daemon still takes on between the signal to stop and its end.
+"""Stopping: which requests a daemon still accepts between the stop signal and its exit.
 
-Whoever sends the signal ends the process some seconds later. Callers are moved to other daemons
-meanwhile, and some still come. What is taken on must have been answered by then.
+The sender of the signal, such as a process supervisor, kills the process after a grace period.
+Until then, callers move to other daemons. Requests that are accepted in the meantime must be
+answered before the process exits.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# Telling callers of what is given up, closing and ending the process take this long (s).
-END_MARGIN_S = 0.35
-# Callers learn of a stop in this part of the time at the latest.
-LEAVE_PART = 1 / 3
-# A request that could outlast the stop is begun in this part of the time only.
-GUESS_PART = 0.5
-# What is taken on by a guess of its length has so many times as long until the end.
-GUESS_FACTOR = 3
+# Reserved for notifying callers of cancelled requests, closing connections and exiting.
+EXIT_MARGIN_S = 0.35
+# Upper limit for `leave_after`, as a part of the grace period.
+MAX_LEAVE_RATIO = 1 / 3
+# Part of the stop, from its start, in which requests with a deadline after its end may start. It is
+# also the minimum duration of a stop, as a part of the grace period.
+UNCERTAIN_START_RATIO = 0.5
+# Expected durations are multiplied by this factor and must still fit before the end of the stop.
+ESTIMATE_SAFETY_FACTOR = 3
 
 
 class Plan(NamedTuple):
-    """Hold when a stop began, takes no more work for the servers here, and ends (s)."""
+    """Hold the times (s) at which a stop begins, new work is no longer accepted, and it ends."""
 
     began_at: float
     leaves_at: float
@@ -27,23 +29,26 @@
 
 
 def plan(now: float, leave_after: float, drain_limit: float, grace: float) -> Plan:
-    """Return the plan of a stop; a grace (s) of 0 means that nobody ends the process."""
+    """Return the plan of a stop that begins now; all durations are in seconds.
+
+    A grace period of 0 means that the process is not killed.
+    """
     leaves_at = now + leave_after
     ends_at = leaves_at + drain_limit
     if grace > 0:
-        leaves_at = min(leaves_at, now + LEAVE_PART * grace)
-        ends_at = min(ends_at, now + max(grace - END_MARGIN_S, GUESS_PART * grace))
+        leaves_at = min(leaves_at, now + MAX_LEAVE_RATIO * grace)
+        ends_at = min(ends_at, now + max(grace - EXIT_MARGIN_S, UNCERTAIN_START_RATIO * grace))
     return Plan(now, leaves_at, ends_at)
 
 
 def may_send(stop: Plan, transfer: float, now: float) -> bool:
-    """Return whether an answer expected to leave in so long (s), with what waits, is taken on."""
-    return now + GUESS_FACTOR * transfer <= stop.ends_at
+    """Return whether an answer can be sent in time, given its expected transfer time in seconds."""
+    return now + ESTIMATE_SAFETY_FACTOR * transfer <= stop.ends_at
 
 
 def may_begin(stop: Plan, deadline: float, expected: float, now: float) -> bool:
-    """Return whether a request with a deadline and an expected duration (s) is still taken on."""
+    """Return whether a request with a deadline and an expected duration (s) is still accepted."""
     if now < stop.leaves_at or deadline <= stop.ends_at:
         return True
-    is_early = now < stop.began_at + GUESS_PART * (stop.ends_at - stop.began_at)
-    return is_early and now + GUESS_FACTOR * expected <= stop.ends_at
+    is_early = now < stop.began_at + UNCERTAIN_START_RATIO * (stop.ends_at - stop.began_at)
+    return is_early and now + ESTIMATE_SAFETY_FACTOR * expected <= stop.ends_at
--- a/hornbeamgw/daemon/server_answer.py
+++ b/hornbeamgw/daemon/server_answer.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from hornbeamgw.core.dialect import Answer, Dialect, belongs_to, says_not_run, spoilt
+from hornbeamgw.core.dialect import AnswerHead, Dialect, invalid_reason, is_answer_to, says_not_run
 from hornbeamgw.core.verdict import Failure, Reason, may_have_run, not_run
 from hornbeamgw.daemon import frames, heads
 from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, header, plain
@@ -63,7 +63,9 @@
             continue
         if not isinstance(event, h11.Response):
             raise ConnectionLost
-        if belongs_to(dialect, Answer(event.status_code, plain(event.headers)), call_id.encode()):
+        if is_answer_to(
+            dialect, AnswerHead(event.status_code, plain(event.headers)), call_id.encode()
+        ):
             return Head(event, foreign)
         foreign += 1
         log.warning("answer to another request", extra={"call_id": call_id})
@@ -84,12 +86,12 @@
 
 def judge(dialect: Dialect, head: h11.Response, call_id: str) -> Failure | None:
     """Return a failure where an answer is none, or says that the request did not run."""
-    answer = Answer(head.status_code, plain(head.headers))
+    answer = AnswerHead(head.status_code, plain(head.headers))
     if says_not_run(dialect, answer):
         detail = f"status {head.status_code}"
         failure = not_run(Reason.BACKEND_REFUSED, detail, RETRY_AFTER_REFUSED_MS)
         return failure._replace(reached_server=True)
-    why = spoilt(dialect, answer, call_id.encode())
+    why = invalid_reason(dialect, answer, call_id.encode())
     return may_have_run(Reason.BACKEND_BROKE, why) if why else None
 
 
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -71,7 +71,7 @@
         "hornbeamgw/core/stopping.py",
         (
             (
-                "    return is_early and now + GUESS_FACTOR * expected <= stop.ends_at",
+                "    return is_early and now + ESTIMATE_SAFETY_FACTOR * expected <= stop.ends_at",
                 "    return True",
             ),
         ),
