--- a/hornbeamgw/core/admission.py
+++ b/hornbeamgw/core/admission.py
@@ -1,8 +1,8 @@
-"""Admission: decides whether a request starts, is queued or is rejected at a backend server.
+"""Admission: decides whether a request starts, is queued or is refused at a backend server.
 
-Every request to a backend server passes through admission, so a rejection proves that the request
+Every request to a backend server passes through admission, so a refusal proves that the request
 did not run. After a connection loss the caller's daemon resolves an attempt by its id: an attempt
-that was never admitted is fenced, and rejected if it arrives later.
+that was never admitted is fenced, and refused if it arrives later.
 """
 
 from __future__ import annotations
@@ -53,8 +53,8 @@
 RETRY_AFTER_DRAIN_MS = 50
 
 
-def _was_admitted(known: AttemptRecord) -> bool:
-    return known.status in (AttemptStatus.RUNNING, AttemptStatus.FINISHED)
+def _was_admitted(record: AttemptRecord) -> bool:
+    return record.status in (AttemptStatus.RUNNING, AttemptStatus.FINISHED)
 
 
 def free_slots(state: AdmissionState) -> int:
@@ -160,10 +160,10 @@
 
 
 def admit(state: AdmissionState, request: Request, service: str, now: float) -> Decision:
-    """Start, queue or reject a request that has just arrived."""
-    known = state.records_by_attempt.get(request.attempt)
-    if known is not None:
-        failure = may_have_run if _was_admitted(known) else not_run
+    """Start, queue or refuse a request that has just arrived."""
+    record = state.records_by_attempt.get(request.attempt)
+    if record is not None:
+        failure = may_have_run if _was_admitted(record) else not_run
         return Refused(request, failure(Reason.FENCED))
     reason = _unavailable_reason(state, request, service, now)
     if reason is not None:
@@ -189,7 +189,7 @@
 
 
 def next_decisions(state: AdmissionState, now: float) -> list[Decision]:
-    """Reject queued requests that would end too late and start those that find a slot."""
+    """Refuse queued requests that would end too late and start those that find a slot."""
     if not state.queue:
         return []
     timed_out = state.policy.too_late(state, now)
@@ -238,7 +238,7 @@
 
 
 def drain(state: AdmissionState, now: float) -> list[Decision]:
-    """Stop admitting requests and reject all queued ones."""
+    """Stop admitting requests and refuse all queued ones."""
     state.server_state = ServerState.DRAINING
     waiting, state.queue = state.queue, []
     return [_refuse(state, request, Reason.DRAINING, now) for request in waiting]
@@ -255,10 +255,10 @@
 
 def resolve(state: AdmissionState, attempt: AttemptId, age: float, now: float) -> Verdict:
     """Return whether an attempt of this age (s) may have run; fence it if it was not admitted."""
-    known = state.records_by_attempt.get(attempt)
-    if known is None and age >= ATTEMPT_RETENTION_S:
+    record = state.records_by_attempt.get(attempt)
+    if record is None and age >= ATTEMPT_RETENTION_S:
         return Verdict.MAY_HAVE_RUN
-    if known is not None and _was_admitted(known):
+    if record is not None and _was_admitted(record):
         return Verdict.MAY_HAVE_RUN
     withdraw(state, attempt, now)
     _record_status(state, attempt, AttemptStatus.FENCED, now)
--- a/hornbeamgw/core/dialect.py
+++ b/hornbeamgw/core/dialect.py
@@ -26,7 +26,7 @@
     not_run : bytes
         Header that states that the backend server did not run the request.
     other_instance_status : int
-        Status with which another instance rejects a request without running it; 0 if unused.
+        Status with which another instance refuses a request without running it; 0 if unused.
     echoes_call_id : bool
         Whether answers repeat the id of the call.
     fractional_retry_after : bool
--- a/hornbeamgw/core/quarantine.py
+++ b/hornbeamgw/core/quarantine.py
@@ -140,8 +140,8 @@
     state.answered.move_to_end(fingerprint)
     while len(state.answered) > MAX_ANSWERED:
         state.answered.popitem(last=False)
-    matters = must_run_isolated(state, fingerprint)
-    cleared = _clear_answered(state, (fingerprint,), now) if matters else []
+    is_suspect = must_run_isolated(state, fingerprint)
+    cleared = _clear_answered(state, (fingerprint,), now) if is_suspect else []
     return QuarantineChanges(_quarantine_causes(state, (), now), cleared) if cleared else NO_CHANGES
 
 
@@ -382,11 +382,13 @@
     state: QuarantineState, reported: Iterable[int], now: float
 ) -> dict[int, Sequence[str]]:
     """Quarantine requests identified as a cause; return them with the reporting daemons."""
-    again = [
+    repeated = [
         f for f in reported if f in state.periods_by_fingerprint and not remaining(state, f, now)
     ]
-    fresh = [f for f in state.report_ids_by_fingerprint if f not in state.periods_by_fingerprint]
-    causes = [*again, *(f for f in fresh if _is_cause(state, f))]
+    not_quarantined = [
+        f for f in state.report_ids_by_fingerprint if f not in state.periods_by_fingerprint
+    ]
+    causes = [*repeated, *(f for f in not_quarantined if _is_cause(state, f))]
     quarantined: dict[int, Sequence[str]] = {}
     for fingerprint in causes:
         _quarantine(state, fingerprint, now)
--- a/hornbeamgw/core/queueing.py
+++ b/hornbeamgw/core/queueing.py
@@ -8,7 +8,7 @@
 - it does not push an equally or more urgent request past its objective, and
 - shorter requests still find a slot in time.
 
-Other requests are rejected at once, so that the caller's daemon can try another server. A queued
+Other requests are refused at once, so that the caller's daemon can try another server. A queued
 request is dropped only if more urgent ones delay it too much, or if its deadline can no longer be
 met. A request that will miss its objective but not its deadline runs only if enough slots are free.
 
@@ -89,8 +89,8 @@
     mean = service_times.expected(
         state.service_time_estimates, request.route, request.latency_objective
     )
-    known = request.route in state.service_time_estimates.estimates_by_route
-    return mean * (COLD_SERVICE_TIME_FACTOR if now < state.warm_at and not known else 1.0)
+    is_measured = request.route in state.service_time_estimates.estimates_by_route
+    return mean * (COLD_SERVICE_TIME_FACTOR if now < state.warm_at and not is_measured else 1.0)
 
 
 def slot_free_times(state: AdmissionState, now: float) -> list[float]:
@@ -118,7 +118,9 @@
     )
 
 
-def _order(state: AdmissionState, requests: Sequence[Request], now: float) -> list[Request]:
+def _by_target_start(
+    state: AdmissionState, requests: Sequence[Request], now: float
+) -> list[Request]:
     """Return the requests sorted by target start, including those that have missed it."""
     return sorted(requests, key=lambda r: _target_start(state, r, now))
 
@@ -138,22 +140,22 @@
     """Return the maximum wait of a request in seconds, so that shorter ones still find a slot.
 
     Without this limit, long requests with a generous objective fill the queue so far ahead that
-    several short requests are rejected for each of them.
+    several short requests are refused for each of them.
     """
     service_time = expected_service_time(state, request, now)
     slacks = [
-        known.slack
-        for known in state.slacks_by_route.values()
-        if known.priority <= request.priority and _is_shorter(known, service_time, now)
+        route_slack.slack
+        for route_slack in state.slacks_by_route.values()
+        if route_slack.priority <= request.priority and _is_shorter(route_slack, service_time, now)
     ]
     return min(slacks, default=math.inf) * MAX_SLACK_USE_RATIO
 
 
-def _is_shorter(known: RouteSlack, service_time: float, now: float) -> bool:
+def _is_shorter(route_slack: RouteSlack, service_time: float, now: float) -> bool:
     """Return whether a recently seen route has a much shorter service time than the given one."""
     return (
-        known.expected_service_time < SHORTER_WORK_RATIO * service_time
-        and now - known.seen_at < SLACK_RETENTION_S
+        route_slack.expected_service_time < SHORTER_WORK_RATIO * service_time
+        and now - route_slack.seen_at < SLACK_RETENTION_S
     )
 
 
@@ -164,8 +166,8 @@
     service_time = expected_service_time(state, request, now)
     slot_use = sum(
         _slot_use(state, route, now)
-        for route, known in state.slacks_by_route.items()
-        if known.priority < request.priority and _is_shorter(known, service_time, now)
+        for route, route_slack in state.slacks_by_route.items()
+        if route_slack.priority < request.priority and _is_shorter(route_slack, service_time, now)
     )
     if slot_use < MIN_SLOT_USE_TO_KEEP_LAST:
         return False
@@ -175,11 +177,11 @@
 
 def _slot_use(state: AdmissionState, route: str, now: float) -> float:
     """Return the decaying average of the slots used by requests of a route."""
-    known = state.slot_use_by_route.get(route)
+    recorded = state.slot_use_by_route.get(route)
     return (
         0.0
-        if known is None
-        else known.slots * math.exp((known.at - now) / SLOT_USE_TIME_CONSTANT_S)
+        if recorded is None
+        else recorded.slots * math.exp((recorded.at - now) / SLOT_USE_TIME_CONSTANT_S)
     )
 
 
@@ -202,17 +204,17 @@
 
 def _objective_refusal(state: AdmissionState, request: Request, now: float) -> Reason | None:
     _record_slack(state, request, now)
-    ordered = _order(state, [*state.queue, request], now)
+    ordered = _by_target_start(state, [*state.queue, request], now)
     ends = dict(zip(ordered, _expected_ends(state, ordered, now), strict=True))
     end = ends[request]
     wait = end - expected_service_time(state, request, now) - now
     if end > _latest_end(request) or wait > _max_wait(state, request, now):
         return Reason.NO_SLOT
-    before = _order(state, state.queue, now)
+    before = _by_target_start(state, state.queue, now)
     ends_before = dict(zip(before, _expected_ends(state, before, now), strict=True))
     for other in before:
-        harmed = ends_before[other] <= _latest_end(other) < ends[other]
-        if harmed and other.priority <= request.priority:
+        becomes_late = ends_before[other] <= _latest_end(other) < ends[other]
+        if becomes_late and other.priority <= request.priority:
             return Reason.NO_SLOT
     return None
 
@@ -231,12 +233,12 @@
 
 
 def _objective_order(state: AdmissionState, now: float) -> list[Request]:
-    return _order(state, state.queue, now)
+    return _by_target_start(state, state.queue, now)
 
 
 def _objective_too_late(state: AdmissionState, now: float) -> list[Request]:
     """Return the queued requests that can no longer meet their deadline."""
-    ordered = _order(state, state.queue, now)
+    ordered = _by_target_start(state, state.queue, now)
     ends = _expected_ends(state, ordered, now)
     return [
         request
@@ -247,7 +249,7 @@
 
 def _objective_retry_after(state: AdmissionState, request: Request, now: float) -> float:
     """Return the delay in seconds after which the request could start if no other arrives."""
-    ordered = _order(state, [*state.queue, request], now)
+    ordered = _by_target_start(state, [*state.queue, request], now)
     service_time = expected_service_time(state, request, now)
     end = _expected_ends(state, ordered, now)[ordered.index(request)]
     slack = max(
@@ -259,7 +261,7 @@
 
 def _objective_wait(state: AdmissionState, request: Request, now: float) -> float:
     """Return the expected wait of a request in seconds, given the queued requests."""
-    ordered = _order(state, [*state.queue, request], now)
+    ordered = _by_target_start(state, [*state.queue, request], now)
     end = _expected_ends(state, ordered, now)[ordered.index(request)]
     return max(0.0, end - expected_service_time(state, request, now) - now)
 
--- a/hornbeamgw/core/slots.py
+++ b/hornbeamgw/core/slots.py
@@ -77,7 +77,7 @@
 
 
 class Refused(NamedTuple):
-    """Decide that a request is rejected and does not run."""
+    """Decide that a request is refused and does not run."""
 
     request: Request
     failure: Failure
@@ -106,9 +106,9 @@
     order : callable
         Return the queued requests in the order in which they start.
     too_late : callable
-        Return the queued requests to reject because they would end too late.
+        Return the queued requests to refuse because they would end too late.
     retry_after : callable
-        Return the delay in seconds after which a rejected request may find a slot.
+        Return the delay in seconds after which a refused request may find a slot.
     wait : callable
         Return the expected wait of a queued request in seconds.
     keeps_last_slot : callable
@@ -151,7 +151,21 @@
 
 
 class AdmissionState:
-    """Hold a backend server's announced state, its running and its queued requests."""
+    """Hold a backend server's announced state, its running and its queued requests.
+
+    Attributes
+    ----------
+    reserved_by_entry : mapping
+        Number of slots reserved for requests of each catalogue entry.
+    mean_service_time : float
+        Moving average of the service time over all routes, in seconds.
+    service_time_estimates : ServiceTimes
+        Estimates of the service time for each route.
+    slacks_by_route, slot_use_by_route : dict
+        Recently seen routes, for queue policies that protect short requests.
+    warm_at : float
+        Time (s) from which the server is no longer cold.
+    """
 
     def __init__(self, policy: str = "deadline") -> None:
         """Start without a backend server; `policy` names the queue policy."""
--- a/hornbeamgw/core/stopping.py
+++ b/hornbeamgw/core/stopping.py
@@ -13,8 +13,8 @@
 EXIT_MARGIN_S = 0.35
 # Upper limit for `leave_after`, as a part of the grace period.
 MAX_LEAVE_RATIO = 1 / 3
-# Part of the stop, from its start, in which requests with a deadline after its end may start. It is
-# also the minimum duration of a stop, as a part of the grace period.
+# Requests whose deadline is after the end of a stop may start only in this part of it. The time
+# limit of a stop is also never shorter than this part of the grace period.
 UNCERTAIN_START_RATIO = 0.5
 # Expected durations are multiplied by this factor and must still fit before the end of the stop.
 ESTIMATE_SAFETY_FACTOR = 3
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -345,8 +345,8 @@
         "hornbeamgw/core/admission.py",
         (
             (
-                "known.status in (AttemptStatus.RUNNING, AttemptStatus.FINISHED)",
-                "known.status is AttemptStatus.FINISHED",
+                "record.status in (AttemptStatus.RUNNING, AttemptStatus.FINISHED)",
+                "record.status is AttemptStatus.FINISHED",
             ),
         ),
         ADMISSION,
