--- a/hornbeamgw/core/quarantine.py
+++ b/hornbeamgw/core/quarantine.py
@@ -274,8 +274,10 @@
     """Announce answered requests, merged with those announced recently, in a single finding."""
     before = [t.finding for t in state.announced if t.finding.kind is FindingKind.ANSWERED]
     state.announced = [t for t in state.announced if t.finding.kind is not FindingKind.ANSWERED]
-    known = dict.fromkeys([*fingerprints, *(f for finding in before for f in finding.fingerprints)])
-    named = tuple(known)[:MAX_FINGERPRINTS]
+    merged = dict.fromkeys(
+        [*fingerprints, *(f for finding in before for f in finding.fingerprints)]
+    )
+    named = tuple(merged)[:MAX_FINGERPRINTS]
     _announce(state, FindingKind.ANSWERED, named, now + ANSWER_ANNOUNCED_S)
 
 
@@ -362,12 +364,12 @@
 
 def _clear_answered(state: QuarantineState, suspects: Iterable[int], now: float) -> list[int]:
     """Clear those suspects that the local server has answered, and announce the answers."""
-    known = [f for f in dict.fromkeys(suspects) if f in state.answered]
-    for fingerprint in known:
+    cleared = [f for f in dict.fromkeys(suspects) if f in state.answered]
+    for fingerprint in cleared:
         _clear(state, fingerprint, now)
-    if known:
-        _announce_answered(state, known, now)
-    return known
+    if cleared:
+        _announce_answered(state, cleared, now)
+    return cleared
 
 
 def _is_cause(state: QuarantineState, fingerprint: int) -> bool:
--- a/hornbeamgw/core/slots.py
+++ b/hornbeamgw/core/slots.py
@@ -77,7 +77,7 @@
 
 
 class Refused(NamedTuple):
-    """Decide that a request is refused and does not run."""
+    """Decide that a request is refused; `failure` says if an earlier copy may have run."""
 
     request: Request
     failure: Failure
