--- a/hornbeamgw/backends/__init__.py
+++ b/hornbeamgw/backends/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters to outside systems, each behind a small entry point; importing registers them."""
+"""Adapters to platforms, behind common interfaces; importing the package registers them."""
 
 from hornbeamgw.backends.base import Platform, PlatformError, factories_by_name
 from hornbeamgw.backends.http_platform import http_platform
--- a/hornbeamgw/backends/base.py
+++ b/hornbeamgw/backends/base.py
@@ -1,4 +1,4 @@
-"""Entry points of the platform: a transactional table service and an object store."""
+"""Interfaces of a platform: a transactional table service, an object store and a row store."""
 
 from __future__ import annotations
 
@@ -10,31 +10,34 @@
 
 
 class PlatformError(Exception):
-    """Say that the platform gave no answer; a write may have taken effect."""
+    """Indicate that a request to the platform failed; a write may still have taken effect."""
 
 
 class TableService(Protocol):
-    """Read rows and write several under conditions, all or none."""
+    """Read rows, and write several atomically under preconditions."""
 
     async def read(self, key: str) -> Row | None:
-        """Return a row, or None where there is none; raise PlatformError without an answer."""
+        """Return a row, or None if it does not exist; raise PlatformError if the read fails."""
 
     async def transact(self, writes: Sequence[Write]) -> bool:
-        """Return whether all conditions held and all was written; raise PlatformError."""
+        """Apply all writes, or none if a condition is not met; return whether they were applied.
+
+        Raises PlatformError if the outcome is unknown.
+        """
 
 
 class ObjectStore(Protocol):
-    """Keep immutable objects by name."""
+    """Store immutable objects by name."""
 
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None where there is none; raise PlatformError."""
+        """Return an object, or None if it does not exist; raise PlatformError if the read fails."""
 
     async def put(self, name: str, value: bytes) -> None:
-        """Store an object under a name never used for another content; raise PlatformError."""
+        """Store an object, whose name must be unique to its content; raise PlatformError."""
 
 
 class Platform(NamedTuple):
-    """Hold the services that keep what must last; a platform need not have them all."""
+    """Hold the persistent stores of a platform; None for each that it does not have."""
 
     table: TableService | None = None
     objects: ObjectStore | None = None
@@ -46,7 +49,10 @@
 
 
 def register(name: str) -> Callable[[PlatformFactory], PlatformFactory]:
-    """Register an adapter: a function of an address and a timeout (s)."""
+    """Register a platform adapter under a name.
+
+    The adapter is a function of the platform's address and a timeout per request in seconds.
+    """
 
     def add(factory: PlatformFactory) -> PlatformFactory:
         factories_by_name[name] = factory
--- a/hornbeamgw/backends/http_platform.py
+++ b/hornbeamgw/backends/http_platform.py
@@ -1,4 +1,4 @@
-"""Platform over plain HTTP: rows and objects with entity tags and conditions (RFC 9110)."""
+"""Platform over HTTP: rows and objects with entity tags and conditional requests (RFC 9110)."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 STATUS_PRECONDITION_FAILED = 412
 
 
-async def ask(
+async def send_request(
     client: HttpClient,
     method: str,
     target: str,
@@ -27,7 +27,11 @@
     headers: Headers | None = None,
     timeout: float | None = None,
 ) -> Response:
-    """Return an answer; raise PlatformError for none, for a failure and for a refusal."""
+    """Send a request and return its response.
+
+    Raises PlatformError if there is no response, or if its status is 429 or 5xx. `timeout` is in
+    seconds; None for the client's default.
+    """
     try:
         response = await client.request(method, target, headers, body, timeout)
     except (OSError, TimeoutError, ConnectionLost, h11.ProtocolError) as error:
@@ -48,16 +52,16 @@
     return encoded
 
 
-class HttpTable:
-    """Reach the table service."""
+class HttpTableService:
+    """Access the table service."""
 
     def __init__(self, client: HttpClient) -> None:
-        """Take the client to ask with."""
+        """Use `client` for all requests."""
         self._client = client
 
     async def read(self, key: str) -> Row | None:
-        """Return a row, or None where there is none; raise PlatformError."""
-        response = await ask(self._client, "GET", f"/table/{key}")
+        """Return a row, or None if it does not exist; raise PlatformError."""
+        response = await send_request(self._client, "GET", f"/table/{key}")
         if response.status == STATUS_NOT_FOUND:
             return None
         etag = header(response.headers, b"etag")
@@ -66,9 +70,9 @@
         return Row(response.body, etag.decode())
 
     async def transact(self, writes: Sequence[Write]) -> bool:
-        """Return whether all conditions held and all was written; raise PlatformError."""
+        """Apply all writes or none; return whether all conditions were met; raise PlatformError."""
         body = msgspec.json.encode([_encode_write(write) for write in writes])
-        response = await ask(self._client, "POST", "/table", body)
+        response = await send_request(self._client, "POST", "/table", body)
         if response.status == STATUS_PRECONDITION_FAILED:
             return False
         if response.status != STATUS_OK:
@@ -76,16 +80,16 @@
         return True
 
 
-class HttpObjects:
-    """Reach the object store."""
+class HttpObjectStore:
+    """Access the object store."""
 
     def __init__(self, client: HttpClient) -> None:
-        """Take the client to ask with."""
+        """Use `client` for all requests."""
         self._client = client
 
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None where there is none; raise PlatformError."""
-        response = await ask(self._client, "GET", f"/objects/{name}")
+        """Return an object, or None if it does not exist; raise PlatformError."""
+        response = await send_request(self._client, "GET", f"/objects/{name}")
         if response.status == STATUS_NOT_FOUND:
             return None
         if response.status != STATUS_OK:
@@ -93,15 +97,15 @@
         return response.body
 
     async def put(self, name: str, value: bytes) -> None:
-        """Store an object; one that is there already has the same content by its name."""
-        absent = [(b"if-none-match", b"*")]
-        response = await ask(self._client, "PUT", f"/objects/{name}", value, absent)
+        """Store an object unless it exists already; names are unique to their content."""
+        headers = [(b"if-none-match", b"*")]
+        response = await send_request(self._client, "PUT", f"/objects/{name}", value, headers)
         if response.status not in (STATUS_OK, STATUS_CREATED, STATUS_PRECONDITION_FAILED):
             raise PlatformError(f"PUT /objects/{name}: status {response.status}")
 
 
 @register("http")
 def http_platform(address: str, timeout: float) -> Platform:
-    """Return the platform at an address (IP number and port); each exchange within timeout (s)."""
+    """Return the platform at an address (IP:port); `timeout` per request is in seconds."""
     client = HttpClient(address, timeout)
-    return Platform(HttpTable(client), HttpObjects(client))
+    return Platform(HttpTableService(client), HttpObjectStore(client))
--- a/hornbeamgw/backends/rows.py
+++ b/hornbeamgw/backends/rows.py
@@ -1,4 +1,4 @@
-"""Rows of a store with a feed of changes, for platforms that have one."""
+"""Interface of a row store with a change feed, for platforms that have one."""
 
 from __future__ import annotations
 
@@ -7,22 +7,26 @@
 
 
 class StoredRow(NamedTuple):
-    """Hold a row, its value (None where it was deleted) and the state that wrote it."""
+    """Hold a row as of its last write.
+
+    `value` is None if the row was deleted; `revision` is the store's revision at that write.
+    """
 
     key: str
     value: bytes | None
-    state: int
+    revision: int
 
 
 class RowPage(NamedTuple):
-    """Hold rows as of one state of the store, and the store's steady clock (s).
+    """Hold the rows of one response, the store's revision and its monotonic clock in seconds.
 
-    States begin anew from an earlier one with each era of the store.
+    Revisions rise with each transaction. `era` rises when the store is restored from a backup;
+    revisions of different eras are not comparable.
     """
 
     rows: Sequence[StoredRow]
-    state: int
-    now: float
+    revision: int
+    store_time: float
     era: int = 0
 
 
@@ -30,12 +34,19 @@
     """Read, watch and write rows; each call may raise PlatformError."""
 
     async def read(self, table: str, key: str = "") -> RowPage:
-        """Return one row of a table, or all of them."""
+        """Return the row of a table with this key, or all rows if the key is empty."""
 
-    async def watch(self, table: str, after: int, wait: float) -> RowPage | None:
-        """Return what changed after a state within a wait (s), or None where it is forgotten."""
+    async def watch(self, table: str, after_revision: int, wait: float) -> RowPage | None:
+        """Return rows changed after a revision, waiting up to `wait` seconds for a change.
+
+        Returns None if the store no longer has its history since that revision.
+        """
 
     async def write(
-        self, table: str, key: str, value: bytes | None, expected: int | None = None
+        self, table: str, key: str, value: bytes | None, expected_revision: int | None = None
     ) -> bool:
-        """Write a row, or delete it with None; return whether it was in the expected state."""
+        """Write a row, or delete it if the value is None; return whether the write was applied.
+
+        With an `expected_revision` (0 for a row that does not exist) the write is applied only if
+        the row is at that revision.
+        """
--- a/hornbeamgw/daemon/directory.py
+++ b/hornbeamgw/daemon/directory.py
@@ -137,7 +137,7 @@
         self._own_row.found(next((row for row in page.rows if row.key == own), None))
         found = [member for member in members_of(page) if member.address != own]
         self._own_row.tell_findings(page)
-        told = {"daemons": len(found), "state": page.state, "era": page.era}
+        told = {"daemons": len(found), "state": page.revision, "era": page.era}
         log.info("directory read", extra=told)
         return found
 
@@ -165,7 +165,7 @@
             for row in ended_rows(page, self._control.view.members_by_address):
                 if page.era != (self._control.node.era or 0):
                     return  # States of another era tell nothing of what is there now.
-                await self._rows.write(TABLE, row.key, None, row.state)
+                await self._rows.write(TABLE, row.key, None, row.revision)
                 log.info("row of an ended daemon deleted", extra={"key": row.key})
         except PlatformError as error:
             log.warning("sweep failed", extra={"error": str(error)})
--- a/hornbeamgw/daemon/rollouts/leader.py
+++ b/hornbeamgw/daemon/rollouts/leader.py
@@ -86,8 +86,8 @@
         if written.service != service:
             log.error("order unreadable", extra={"key": row.key, "service": written.service})
             return
-        number = era * STATES_OF_AN_ERA + row.state
-        self._on_order(Order(*written, number), row.state, era)
+        number = era * STATES_OF_AN_ERA + row.revision
+        self._on_order(Order(*written, number), row.revision, era)
 
     def _on_order(self, order: Order, row_state: int, era: int) -> None:
         led = self._led_by_service.get(order.service)
--- a/hornbeamgw/daemon/rollouts/statuses.py
+++ b/hornbeamgw/daemon/rollouts/statuses.py
@@ -49,7 +49,7 @@
                 return standing.phase
             value = self._order_rows.encode_status(wanted)
             table, key = self._order_rows.status_table, self._order_rows.prefix + order.service
-            if await self._rows.write(table, key, value, row.state if row is not None else 0):
+            if await self._rows.write(table, key, value, row.revision if row is not None else 0):
                 log.info("status written", extra={"service": order.service, **wanted._asdict()})
                 return standing.phase
 
@@ -70,6 +70,6 @@
         if row is None or told is None or told.target != order.target:
             return None
         # States of another era tell nothing of what was written first.
-        if era != order.era or row.state < order.row_state:
+        if era != order.era or row.revision < order.row_state:
             return None
         return PHASE_BY_PROGRESS.get(told.progress)
--- a/hornbeamgw/daemon/sources.py
+++ b/hornbeamgw/daemon/sources.py
@@ -163,7 +163,7 @@
         self.reads += 1
         page = await self._rows.read(self._row.table)
         is_era_new = self._era is not None and page.era != self._era
-        self._seen, self._era = page.state, page.era
+        self._seen, self._era = page.revision, page.era
         self._control.note_era(page.era)
         head = self._head_of(page) or SourceHead(0, None)
         if is_era_new:
@@ -198,7 +198,7 @@
             return await self.read_head()
         if page.era != self._era:
             return await self.read_head()
-        self._seen = max(self._seen, page.state)
+        self._seen = max(self._seen, page.revision)
         self._tell(page)
         return self._head_of(page) or SourceHead(0, None)
 
@@ -211,7 +211,7 @@
         except ValueError as error:
             log.error(
                 "version unreadable; the last one stays in force whole",
-                extra={"state": page.state, "error": str(error)},
+                extra={"state": page.revision, "error": str(error)},
             )
             return None
         return SourceHead(whole.version, whole.bodies_by_key)
