--- a/hornbeamgw/commands/__init__.py
+++ b/hornbeamgw/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Command line of operators."""
+"""Command-line interface for operators."""
--- a/hornbeamgw/commands/catalogue.py
+++ b/hornbeamgw/commands/catalogue.py
@@ -14,7 +14,13 @@
 import h11
 import msgspec
 
-from hornbeamgw.commands.client import Answer, ask, ask_each, ask_or_fail, living_admins
+from hornbeamgw.commands.client import (
+    JsonResponse,
+    get_from_each,
+    live_admin_addresses,
+    request_or_fail,
+    send_request,
+)
 from hornbeamgw.commands.daemon import OutputArg
 from hornbeamgw.commands.exits import ExitCode
 from hornbeamgw.commands.output import fail, fail_with_problems, print_json, print_rows, read_file
@@ -22,16 +28,18 @@
 from hornbeamgw.core.edit import Catalogue, Change, Edit, changes_of
 from hornbeamgw.daemon.http1 import ConnectionLost
 
-SEND_TRIES = 5
-POLL_S = 0.1
-HTTP_CONFLICT = 409
+MAX_SEND_ATTEMPTS = 5
+POLL_INTERVAL_S = 0.1
+STATUS_CONFLICT = 409
 
 DaemonArg = Annotated[str, cappa.Arg(long="--daemon", help="admin address of any daemon")]
 FileArg = Annotated[str, cappa.Arg(help="YAML file with a catalogue")]
-PruneArg = Annotated[bool, cappa.Arg(long="--prune", help="delete what the file leaves out")]
-OntoArg = Annotated[
+PruneArg = Annotated[
+    bool, cappa.Arg(long="--prune", help="delete items that the file does not contain")
+]
+OntoCurrentArg = Annotated[
     bool,
-    cappa.Arg(long="--onto-current", help="take the current revisions as the base of the edit"),
+    cappa.Arg(long="--onto-current", help="base the edit on the current revisions"),
 ]
 
 
@@ -42,21 +50,21 @@
     return parsed
 
 
-def _fetch(address: str) -> Catalogue:
-    document = ask_or_fail(address, "GET", "/catalogue")
+def _fetch_catalogue(address: str) -> Catalogue:
+    document = request_or_fail(address, "GET", "/catalogue")
     items = {key: Item(revision, body) for key, (revision, body) in document["items"].items()}
     return Catalogue(document["version"], document["digest"], items)
 
 
-@cappa.command(name="check", help="Check a catalogue file without a platform; exit code 2 if bad.")
+@cappa.command(name="check", help="Check a catalogue file offline; exit code 2 if it is invalid.")
 @dataclass
 class CatalogueCheck:
-    """Check the form, names, references and sizes of a catalogue file."""
+    """Check the format, names, references and sizes of a catalogue file."""
 
     file: FileArg
 
     def __call__(self) -> None:
-        """Check it."""
+        """Print the result of the check, or exit with the problems found."""
         parsed = _parse(self.file)
         items = {key: Item(0, body) for key, body in parsed.bodies_by_key.items()}
         problems = validate(items, self.file)
@@ -74,8 +82,8 @@
     output: OutputArg = "table"
 
     def __call__(self) -> None:
-        """Show it, as YAML or as JSON."""
-        document = ask_or_fail(self.daemon, "GET", "/catalogue")
+        """Print the catalogue as YAML or JSON."""
+        document = request_or_fail(self.daemon, "GET", "/catalogue")
         if self.output == "json":
             print_json(document["file"])
         else:
@@ -85,7 +93,7 @@
 @cappa.command(name="diff", help="Show what applying a file would change.")
 @dataclass
 class CatalogueDiff:
-    """Show the changes that a file asks for."""
+    """Show the changes that applying a file would make."""
 
     file: FileArg
     daemon: DaemonArg
@@ -93,21 +101,21 @@
     output: OutputArg = "table"
 
     def __call__(self) -> None:
-        """Show them."""
-        current = _fetch(self.daemon)
+        """Print the changes."""
+        current = _fetch_catalogue(self.daemon)
         changes = changes_of(current, _parse(self.file), self.prune, True)
-        rows = [_difference(current, change) for change in changes]
+        rows = [_diff_row(current, change) for change in changes]
         print_rows(rows, ("key", "what", "current", "wanted"), self.output)
 
 
-def _difference(current: Catalogue, change: Change) -> dict[str, Any]:
+def _diff_row(current: Catalogue, change: Change) -> dict[str, Any]:
     item = current.items.get(change["key"])
     what = "delete" if change["body"] is None else "change" if item else "add"
     body = item.body if item else None
     return {"key": change["key"], "what": what, "current": body, "wanted": change["body"]}
 
 
-@cappa.command(name="history", help="Show the versions that a daemon remembers.")
+@cappa.command(name="history", help="Show the versions in a daemon's history.")
 @dataclass
 class CatalogueHistory:
     """Show who changed what, and when."""
@@ -116,67 +124,69 @@
     output: OutputArg = "table"
 
     def __call__(self) -> None:
-        """Show it."""
-        rows = ask_or_fail(self.daemon, "GET", "/history")
+        """Print the history."""
+        rows = request_or_fail(self.daemon, "GET", "/history")
         for row in rows:
             row["at"] = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(row["at_ms"] / 1000))
             row["items"] = [change["key"] for change in row["changes"]]
         print_rows(rows, ("version", "at", "author", "edit_id", "items"), self.output)
 
 
-@cappa.command(name="apply", help="Make a file the next version of the catalogue.")
+@cappa.command(name="apply", help="Apply a file as the next version of the catalogue.")
 @dataclass
 class CatalogueApply:
-    """Apply a file as one edit, all or nothing."""
+    """Apply a file atomically, as one edit."""
 
     file: FileArg
     daemon: DaemonArg
     prune: PruneArg = False
-    onto_current: OntoArg = False
-    author: Annotated[str, cappa.Arg(long=True, help="who edits; the user by default")] = ""
-    edit_id: Annotated[str, cappa.Arg(long=True, help="send an earlier edit again")] = ""
-    wait: Annotated[bool, cappa.Arg(long=True, help="wait until in force everywhere")] = False
-    wait_limit: Annotated[float, cappa.Arg(long=True, help="give up waiting after (s)")] = 30.0
+    onto_current: OntoCurrentArg = False
+    author: Annotated[
+        str, cappa.Arg(long=True, help="author of the edit; default: the current user")
+    ] = ""
+    edit_id: Annotated[str, cappa.Arg(long=True, help="id of an earlier edit to send again")] = ""
+    wait: Annotated[bool, cappa.Arg(long=True, help="wait until in force on all daemons")] = False
+    wait_limit: Annotated[float, cappa.Arg(long=True, help="longest wait in seconds")] = 30.0
     output: OutputArg = "table"
 
     def __call__(self) -> None:
-        """Apply it, and name the laggards where it is not in force in time."""
+        """Apply the file; with --wait, fail if it is not in force on all daemons in time."""
         parsed = _parse(self.file)
-        changes = changes_of(_fetch(self.daemon), parsed, self.prune, self.onto_current)
+        changes = changes_of(_fetch_catalogue(self.daemon), parsed, self.prune, self.onto_current)
         edit_id = self.edit_id or uuid.uuid4().hex
         if not changes and not self.edit_id:
-            self._say({"version": _fetch(self.daemon).version, "changes": 0})
+            self._print_result({"version": _fetch_catalogue(self.daemon).version, "changes": 0})
             return
         author = self.author or getpass.getuser()
         edit = Edit(edit_id=edit_id, author=author, changes=changes)
-        version = asyncio.run(_send(self.daemon, edit))
+        version = asyncio.run(_send_edit(self.daemon, edit))
         if self.wait:
-            _wait(self.daemon, version, self.wait_limit)
-        self._say({"version": version, "changes": len(changes), "edit_id": edit_id})
+            _wait_or_fail(self.daemon, version, self.wait_limit)
+        self._print_result({"version": version, "changes": len(changes), "edit_id": edit_id})
 
-    def _say(self, document: dict[str, Any]) -> None:
+    def _print_result(self, document: dict[str, Any]) -> None:
         if self.output == "json":
             print_json(document)
         else:
             print("  ".join(f"{key} {value}" for key, value in document.items()))
 
 
-async def _send(address: str, edit: Edit) -> int:
-    """Send an edit until its answer is known; the same id is never two edits."""
+async def _send_edit(address: str, edit: Edit) -> int:
+    """Send an edit, retrying if there is no response; daemons deduplicate edits by id."""
     detail = ""
-    for _ in range(SEND_TRIES):
+    for _ in range(MAX_SEND_ATTEMPTS):
         try:
-            answer = await ask(address, "POST", "/edits", body=edit)
+            response = await send_request(address, "POST", "/edits", body=edit)
         except (OSError, TimeoutError, ConnectionLost, h11.ProtocolError, ValueError) as error:
             detail = str(error) or type(error).__name__
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             continue
-        if answer.status == 200:
-            return int(answer.document["version"])
-        if answer.status == HTTP_CONFLICT:
-            _refused(answer)
-        detail = str(answer.document)
-        if answer.status != 503:
+        if response.status == 200:
+            return int(response.document["version"])
+        if response.status == STATUS_CONFLICT:
+            _fail_refused(response)
+        detail = str(response.document)
+        if response.status != 503:
             fail(f"edit refused: {detail}", ExitCode.BAD_INPUT)
     fail(
         f"edit {edit['edit_id']}: not known whether it was accepted ({detail}); "
@@ -185,56 +195,56 @@
     )
 
 
-def _refused(answer: Answer) -> None:
+def _fail_refused(response: JsonResponse) -> None:
     lines = []
-    for problem in answer.document["problems"]:
+    for problem in response.document["problems"]:
         lines.append("{source}: {key}: got {given!r}, expected {expected}".format(**problem))
-    for conflict in answer.document["conflicts"]:
+    for conflict in response.document["conflicts"]:
         lines.append(
             "{key}: based on revision {based_on}, current is {current_revision}\n"
             "  current: {current}\n  wanted:  {wanted}".format(**conflict)
         )
-    code = ExitCode.CONFLICT if answer.document["conflicts"] else ExitCode.BAD_INPUT
+    code = ExitCode.CONFLICT if response.document["conflicts"] else ExitCode.BAD_INPUT
     fail("edit refused\n" + "\n".join(lines), code)
 
 
-def _wait(address: str, version: int, limit: float) -> None:
-    laggards = asyncio.run(_wait_in_force(address, version, limit))
+def _wait_or_fail(address: str, version: int, timeout: float) -> None:
+    laggards = asyncio.run(_wait_in_force(address, version, timeout))
     if laggards:
         names = ", ".join(laggards)
         fail(f"version {version} accepted, but not in force yet on: {names}", ExitCode.LAGGARDS)
 
 
-async def _wait_in_force(address: str, version: int, limit: float) -> list[str]:
+async def _wait_in_force(address: str, version: int, timeout: float) -> list[str]:
     loop = asyncio.get_running_loop()
-    end = loop.time() + limit
-    progress = _Progress(version)
+    deadline = loop.time() + timeout
+    progress = _ProgressBar(version)
     try:
         while True:
-            admins = await living_admins(address)
-            answers = await ask_each(admins, "/version")
-            lagging = _lagging(answers, version)
-            progress.show(len(admins) - len(lagging), len(admins))
-            if not lagging or loop.time() >= end:
-                return lagging
-            await asyncio.sleep(POLL_S)
+            admins = await live_admin_addresses(address)
+            documents_by_admin = await get_from_each(admins, "/version")
+            laggards = _laggards(documents_by_admin, version)
+            progress.show(len(admins) - len(laggards), len(admins))
+            if not laggards or loop.time() >= deadline:
+                return laggards
+            await asyncio.sleep(POLL_INTERVAL_S)
     finally:
         progress.close()
 
 
-def _lagging(answers: dict[str, Any], version: int) -> list[str]:
-    lagging = []
-    for admin, answer in sorted(answers.items()):
-        if answer is None:
-            lagging.append(f"{admin} (no answer)")
-        elif answer["in_force"] < version:
-            why = answer["waiting_for"] or ("rejected" if answer["rejected"] else "behind")
-            lagging.append(f"{answer['address']} (at {answer['in_force']}, {why})")
-    return lagging
+def _laggards(documents_by_admin: dict[str, Any], version: int) -> list[str]:
+    laggards = []
+    for admin, document in sorted(documents_by_admin.items()):
+        if document is None:
+            laggards.append(f"{admin} (no answer)")
+        elif document["in_force"] < version:
+            reason = document["waiting_for"] or ("rejected" if document["rejected"] else "behind")
+            laggards.append(f"{document['address']} (at {document['in_force']}, {reason})")
+    return laggards
 
 
-class _Progress:
-    """Hold a bar on a terminal, and nothing when piped."""
+class _ProgressBar:
+    """Show a progress bar if standard error is a terminal."""
 
     def __init__(self, version: int) -> None:
         self._bar: Any = None
@@ -247,12 +257,12 @@
             self._bar.start()
 
     def show(self, done: int, total: int) -> None:
-        """Show how many daemons have the version in force."""
+        """Update the number of daemons that have the version in force."""
         if self._bar is not None:
             self._bar.update(self._task, completed=done, total=total)
 
     def close(self) -> None:
-        """Leave the bar as it is."""
+        """Stop updating the bar."""
         if self._bar is not None:
             self._bar.stop()
 
@@ -260,7 +270,7 @@
 @cappa.command(name="catalogue", help="Check, apply, show and compare the catalogue.")
 @dataclass
 class CatalogueCommand:
-    """Choose what to do with the catalogue."""
+    """Group the commands for the catalogue."""
 
     command: cappa.Subcommands[
         CatalogueCheck | CatalogueApply | CatalogueShow | CatalogueDiff | CatalogueHistory
--- a/hornbeamgw/commands/client.py
+++ b/hornbeamgw/commands/client.py
@@ -1,4 +1,4 @@
-"""Client: ask daemons from the command line."""
+"""Client of the admin API of daemons, for the commands."""
 
 from __future__ import annotations
 
@@ -14,61 +14,66 @@
 from hornbeamgw.commands.output import fail
 from hornbeamgw.daemon.http1 import ConnectionLost, HttpClient
 
-TIMEOUT_S = 30.0
-FAN_OUT = 64
+REQUEST_TIMEOUT_S = 30.0
+MAX_CONCURRENT_REQUESTS = 64
 
 
-class Answer(NamedTuple):
-    """Hold the status and the JSON document of an answer."""
+class JsonResponse(NamedTuple):
+    """Hold the status and the decoded JSON body of a response."""
 
     status: int
     document: Any
 
 
-async def ask(
+async def send_request(
     address: str, method: str, path: str, query: dict[str, str] | None = None, body: object = None
-) -> Answer:
-    """Ask one daemon; raise OSError, TimeoutError, ConnectionLost or a protocol error."""
-    client = HttpClient(address, TIMEOUT_S)
+) -> JsonResponse:
+    """Send a request to one daemon and return its response.
+
+    Raises OSError, TimeoutError, ConnectionLost, h11.ProtocolError or a decoding error.
+    """
+    client = HttpClient(address, REQUEST_TIMEOUT_S)
     target = f"{path}?{urlencode(query)}" if query else path
     payload = b"" if body is None else msgspec.json.encode(body)
     try:
         response = await client.request(method, target, body=payload)
     finally:
         client.close()
-    return Answer(response.status, msgspec.json.decode(response.body))
+    return JsonResponse(response.status, msgspec.json.decode(response.body))
 
 
-def ask_or_fail(address: str, method: str, path: str, query: dict[str, str] | None = None) -> Any:
-    """Return the document of a daemon's answer, or end the command with the reason."""
+def request_or_fail(
+    address: str, method: str, path: str, query: dict[str, str] | None = None
+) -> Any:
+    """Return the document in a daemon's response, or exit with an error message."""
     try:
-        answer = asyncio.run(ask(address, method, path, query))
+        response = asyncio.run(send_request(address, method, path, query))
     except (OSError, TimeoutError, ConnectionLost, h11.ProtocolError, ValueError) as error:
         fail(f"daemon {address}: no answer: {error or type(error).__name__}", ExitCode.FAILED)
-    if answer.status != 200:
-        fail(f"daemon {address}: {answer.document}", ExitCode.FAILED)
-    return answer.document
+    if response.status != 200:
+        fail(f"daemon {address}: {response.document}", ExitCode.FAILED)
+    return response.document
 
 
-async def ask_each(
+async def get_from_each(
     addresses: Sequence[str], path: str, query: dict[str, str] | None = None
 ) -> dict[str, Any]:
-    """Ask many daemons at once; return documents by address, None where there was no answer."""
-    slots = asyncio.Semaphore(FAN_OUT)
+    """Send GET requests to many daemons concurrently; return documents by address, or None."""
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
-    async def ask_one(address: str) -> Any:
-        async with slots:
+    async def get_one(address: str) -> Any:
+        async with semaphore:
             try:
-                return (await ask(address, "GET", path, query)).document
+                return (await send_request(address, "GET", path, query)).document
             except (OSError, TimeoutError, ConnectionLost, h11.ProtocolError, ValueError):
                 return None
 
-    answers = await asyncio.gather(*(ask_one(address) for address in addresses))
-    return dict(zip(addresses, answers, strict=True))
+    documents = await asyncio.gather(*(get_one(address) for address in addresses))
+    return dict(zip(addresses, documents, strict=True))
 
 
-async def living_admins(address: str) -> list[str]:
-    """Return the admin addresses of all daemons that one daemon believes to be alive."""
-    status = (await ask(address, "GET", "/status")).document
-    members = [m for m in status["members"] if m["status"] in ("alive", "suspect")]
-    return [m["admin"] or address for m in members]
+async def live_admin_addresses(address: str) -> list[str]:
+    """Return the admin addresses of all daemons that one daemon sees as alive or suspect."""
+    status = (await send_request(address, "GET", "/status")).document
+    members = [member for member in status["members"] if member["status"] in ("alive", "suspect")]
+    return [member["admin"] or address for member in members]
--- a/hornbeamgw/commands/daemon.py
+++ b/hornbeamgw/commands/daemon.py
@@ -1,4 +1,4 @@
-"""Commands that run a daemon and look at its settings."""
+"""Commands that run a daemon and show its settings."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 import cappa
 
-from hornbeamgw.commands.output import Format, fail_with_problems, print_rows, read_file
+from hornbeamgw.commands.output import OutputFormat, fail_with_problems, print_rows, read_file
 from hornbeamgw.core.options import Loaded, parse_settings
 
 SettingsArg = Annotated[str, cappa.Arg(long="--settings", help="YAML file with settings")]
-OutputArg = Annotated[Format, cappa.Arg(long="--output", help="table or json")]
+OutputArg = Annotated[OutputFormat, cappa.Arg(long="--output", help="table or json")]
 
 
 def _load(path: str) -> Loaded:
@@ -24,7 +24,7 @@
 @cappa.command(name="daemon", help="Run the daemon beside a backend server.")
 @dataclass
 class DaemonCommand:
-    """Run a daemon until it is told to stop."""
+    """Run a daemon until a signal stops it."""
 
     settings: SettingsArg
     print_addresses: Annotated[
@@ -32,7 +32,7 @@
     ] = False
 
     def __call__(self) -> None:
-        """Run it and exit with its code: 0 drained, 3 cut something off."""
+        """Run the daemon; exit with 0 after a complete drain, 3 if work was cut off."""
         from hornbeamgw.daemon.main import run
 
         raise cappa.Exit(
@@ -40,7 +40,9 @@
         )
 
 
-@cappa.command(name="check", help="Check a settings file; exit code 2 with every problem.")
+@cappa.command(
+    name="check", help="Check a settings file; print all problems, with exit code 2 if any."
+)
 @dataclass
 class SettingsCheck:
     """Check a settings file."""
@@ -48,12 +50,12 @@
     settings: Annotated[str, cappa.Arg(help="YAML file with settings")]
 
     def __call__(self) -> None:
-        """Check it."""
+        """Print the result of the check, or exit with the problems found."""
         _load(self.settings)
         print(f"{self.settings}: ok")
 
 
-@cappa.command(name="show", help="Show effective settings and where each comes from.")
+@cappa.command(name="show", help="Show effective settings and the source of each.")
 @dataclass
 class SettingsShow:
     """Show effective settings."""
@@ -62,7 +64,7 @@
     output: OutputArg = "table"
 
     def __call__(self) -> None:
-        """Show them."""
+        """Print the settings."""
         loaded = _load(self.settings)
         rows = [
             {"key": key, "value": value, "source": loaded.sources_by_key[key]}
@@ -74,6 +76,6 @@
 @cappa.command(name="settings", help="Check or show settings.")
 @dataclass
 class SettingsCommand:
-    """Choose what to do with settings."""
+    """Group the commands for settings."""
 
     command: cappa.Subcommands[SettingsCheck | SettingsShow]
--- a/hornbeamgw/commands/exits.py
+++ b/hornbeamgw/commands/exits.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Name what a command's end means; docs/operators/commands.md lists them."""
+    """Exit codes of all commands, as documented in docs/operators/commands.md."""
 
     OK = 0
     FAILED = 1
--- a/hornbeamgw/commands/fleet.py
+++ b/hornbeamgw/commands/fleet.py
@@ -1,4 +1,4 @@
-"""Commands that ask what the fleet does and why."""
+"""Commands that show the state and the decisions of daemons."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 import h11
 
 from hornbeamgw.commands.catalogue import DaemonArg
-from hornbeamgw.commands.client import ask_each, ask_or_fail, living_admins
+from hornbeamgw.commands.client import get_from_each, live_admin_addresses, request_or_fail
 from hornbeamgw.commands.daemon import OutputArg
 from hornbeamgw.commands.exits import ExitCode
 from hornbeamgw.commands.output import fail, print_json, print_rows, print_table
 from hornbeamgw.commands.plots import plot_histograms, plot_timeline
 from hornbeamgw.daemon.http1 import ConnectionLost
 
-BAR_WIDTH = 40
-COUNTED_OF_ROLLOUT = ("reached", "sent", "answers", "bad")
+BAR_WIDTH_CHARS = 40
+ROLLOUT_COUNTER_KEYS = ("reached", "sent", "answers", "bad")
 
-PlotArg = Annotated[str, cappa.Arg(long="--plot", help="draw a picture (PNG or SVG) into a file")]
+PlotArg = Annotated[str, cappa.Arg(long="--plot", help="write a plot to this PNG or SVG file")]
 
 
-def _ask_fleet(address: str, path: str, query: dict[str, str] | None = None) -> dict[str, Any]:
+def _get_from_fleet(address: str, path: str, query: dict[str, str] | None = None) -> dict[str, Any]:
     async def gather() -> dict[str, Any]:
-        return await ask_each(await living_admins(address), path, query)
+        return await get_from_each(await live_admin_addresses(address), path, query)
 
     try:
         return asyncio.run(gather())
@@ -37,25 +37,27 @@
 @cappa.command(name="status", help="Show members, versions, laggards and rejected versions.")
 @dataclass
 class Status:
-    """Show the state of the fleet as one daemon and all living ones tell it."""
+    """Show the members known to one daemon, and the versions on all live daemons."""
 
     daemon: DaemonArg
     output: OutputArg = "table"
 
     def __call__(self) -> None:
-        """Show it."""
-        status = ask_or_fail(self.daemon, "GET", "/status")
-        rows = _ask_fleet(self.daemon, "/version")
-        newest = max((row["known"] for row in rows.values() if row), default=0)
+        """Print the status."""
+        status = request_or_fail(self.daemon, "GET", "/status")
+        rows_by_admin = _get_from_fleet(self.daemon, "/version")
+        newest = max((row["known"] for row in rows_by_admin.values() if row), default=0)
         laggards = [
             {"admin": admin, **(row or {"waiting_for": "no answer"})}
-            for admin, row in sorted(rows.items())
+            for admin, row in sorted(rows_by_admin.items())
             if row is None or row["in_force"] < newest
         ]
-        rejected = {v: why for row in rows.values() if row for v, why in row["rejected"].items()}
+        rejected = {
+            v: why for row in rows_by_admin.values() if row for v, why in row["rejected"].items()
+        }
         document = {
             "newest": newest,
-            "in_force": Counter(row["in_force"] for row in rows.values() if row),
+            "in_force": Counter(row["in_force"] for row in rows_by_admin.values() if row),
             "members": status["members"],
             "laggards": laggards,
             "rejected": rejected,
@@ -88,7 +90,7 @@
 @cappa.command(name="explain", help="Show which route, limits and servers a request would get.")
 @dataclass
 class Explain:
-    """Explain the decision on a request."""
+    """Explain how a daemon would route a request."""
 
     method: Annotated[str, cappa.Arg(help="method of the request")]
     path: Annotated[str, cappa.Arg(help="path of the request")]
@@ -97,9 +99,9 @@
     output: OutputArg = "table"
 
     def __call__(self) -> None:
-        """Explain it."""
+        """Print the explanation."""
         query = {"method": self.method, "path": self.path, "host": self.host}
-        document = ask_or_fail(self.daemon, "GET", "/explain", query)
+        document = request_or_fail(self.daemon, "GET", "/explain", query)
         if self.output == "json":
             print_json(document)
             return
@@ -109,57 +111,57 @@
         print_table(endpoints, ("address", "data_centre", "status", "local", "slots"))
 
 
-@cappa.command(name="rollouts", help="Show how rollouts of services stand.")
+@cappa.command(name="rollouts", help="Show the progress of service rollouts.")
 @dataclass
 class RolloutsCommand:
-    """Show each rollout as one daemon knows it, with what the fleet has sent to its version."""
+    """Show the rollouts known to one daemon, with request counts summed over the fleet."""
 
     daemon: DaemonArg
     output: OutputArg = "table"
 
     def __call__(self) -> None:
-        """Show it."""
-        known = ask_or_fail(self.daemon, "GET", "/rollouts")
-        answers = _ask_fleet(self.daemon, "/rollouts")
-        rows = [_with_fleet(row, answers) for row in known]
+        """Print the rollouts."""
+        rollouts = request_or_fail(self.daemon, "GET", "/rollouts")
+        documents_by_admin = _get_from_fleet(self.daemon, "/rollouts")
+        rows = [_with_fleet_counts(row, documents_by_admin) for row in rollouts]
         columns = ("service", "target", "phase", "step", "reached", "sent", "answers", "bad")
         print_rows(rows, columns, self.output)
 
 
-def _with_fleet(row: dict[str, Any], answers: dict[str, Any]) -> dict[str, Any]:
-    """Return a rollout with the sums of what all daemons have counted for the same order."""
-    same = [
+def _with_fleet_counts(row: dict[str, Any], documents_by_admin: dict[str, Any]) -> dict[str, Any]:
+    """Return a rollout with the counters of all daemons for the same order summed up."""
+    same_order = [
         other
-        for rows in answers.values()
+        for rows in documents_by_admin.values()
         for other in rows or ()
         if all(other[key] == row[key] for key in ("service", "target", "number"))
     ]
-    sums = {key: sum(other[key] for other in same) for key in COUNTED_OF_ROLLOUT}
+    sums = {key: sum(other[key] for other in same_order) for key in ROLLOUT_COUNTER_KEYS}
     return {**row, **sums}
 
 
 @cappa.command(name="histograms", help="Show latency by owner, class and verdict.")
 @dataclass
 class HistogramsCommand:
-    """Show the histograms of one daemon."""
+    """Show the latency histograms of one daemon."""
 
     daemon: DaemonArg
     output: OutputArg = "table"
     plot: PlotArg = ""
 
     def __call__(self) -> None:
-        """Show them, or draw them."""
-        rows = ask_or_fail(self.daemon, "GET", "/histograms")
+        """Print the histograms, and plot them if asked to."""
+        rows = request_or_fail(self.daemon, "GET", "/histograms")
         if self.plot:
             plot_histograms(rows, self.plot)
         columns = ("owner", "class", "verdict", "count", "p50_ms", "p90_ms", "p99_ms", "max_ms")
         print_rows(rows, columns, self.output)
 
 
-@cappa.command(name="timeline", help="Show when and how each daemon got a version.")
+@cappa.command(name="timeline", help="Show when and how each daemon received a version.")
 @dataclass
 class Timeline:
-    """Show the spreading of one version, as a text chart or as a picture."""
+    """Show the propagation of one version as a text chart, and optionally as a plot."""
 
     version: Annotated[int, cappa.Arg(help="version of the catalogue")]
     daemon: DaemonArg
@@ -167,10 +169,12 @@
     plot: PlotArg = ""
 
     def __call__(self) -> None:
-        """Show it."""
-        answers = _ask_fleet(self.daemon, "/timeline", {"version": str(self.version)})
-        rows = [row for row in answers.values() if row]
-        lines = _timeline(rows)
+        """Print the timeline."""
+        documents_by_admin = _get_from_fleet(
+            self.daemon, "/timeline", {"version": str(self.version)}
+        )
+        rows = [row for row in documents_by_admin.values() if row]
+        lines = _timeline_rows(rows)
         if self.plot:
             plot_timeline(lines, self.version, self.plot)
         if self.output == "json":
@@ -179,16 +183,16 @@
             print_table(lines, ("address", "data_centre", "by", "from", "bytes", "ms", "chart"))
 
 
-def _timeline(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    known = [row["accepted_at"] for row in rows if row["accepted_at"]]
-    if not known:
-        fail("no daemon remembers this version", ExitCode.FAILED)
-    start = min(known)
+def _timeline_rows(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    accepted_times = [row["accepted_at"] for row in rows if row["accepted_at"]]
+    if not accepted_times:
+        fail("no daemon has this version in its history", ExitCode.FAILED)
+    start = min(accepted_times)
     latest = max((row["in_force_at"] or start for row in rows), default=start)
-    scale = max(latest - start, 0.001)
+    span_s = max(latest - start, 0.001)
     lines = []
     for row in sorted(rows, key=lambda r: r["in_force_at"] or float("inf")):
-        at = row["in_force_at"]
+        in_force_at = row["in_force_at"]
         arrival = row["arrival"] or {}
         lines.append(
             {
@@ -197,8 +201,12 @@
                 "by": arrival.get("path", row["waiting_for"] or "-"),
                 "from": arrival.get("sender"),
                 "bytes": arrival.get("size"),
-                "ms": None if at is None else round((at - start) * 1000, 1),
-                "chart": "" if at is None else "#" * round((at - start) / scale * BAR_WIDTH),
+                "ms": None if in_force_at is None else round((in_force_at - start) * 1000, 1),
+                "chart": (
+                    ""
+                    if in_force_at is None
+                    else "#" * round((in_force_at - start) / span_s * BAR_WIDTH_CHARS)
+                ),
             }
         )
     return lines
--- a/hornbeamgw/commands/main.py
+++ b/hornbeamgw/commands/main.py
@@ -1,4 +1,4 @@
-"""Command line: hornbeamgw."""
+"""Entry point of the command line."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 @dataclass
 class Hornbeamgw:
-    """Choose a command."""
+    """Group all commands."""
 
     command: cappa.Subcommands[
         DaemonCommand
--- a/hornbeamgw/commands/output.py
+++ b/hornbeamgw/commands/output.py
@@ -1,4 +1,4 @@
-"""Output: tables for people, JSON for programs, errors on standard error."""
+"""Output of commands: tables or JSON on standard output, errors on standard error."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from hornbeamgw.commands.exits import ExitCode
 from hornbeamgw.core.problems import Problem
 
-Format = Literal["table", "json"]
+OutputFormat = Literal["table", "json"]
 
 
 def fail(message: str, code: ExitCode) -> NoReturn:
-    """End the command with a message and an exit code."""
+    """Print a message on standard error and exit."""
     print(message, file=sys.stderr)
     raise cappa.Exit(code=int(code))
 
 
 def fail_with_problems(problems: Iterable[Problem]) -> NoReturn:
-    """End the command with one line for each problem."""
+    """Print one line for each problem on standard error and exit."""
     fail("\n".join(str(problem) for problem in problems), ExitCode.BAD_INPUT)
 
 
 def read_file(path: str) -> str:
-    """Return the text of a file, or end the command with the reason."""
+    """Return the text of a file, or exit with an error message."""
     try:
         return Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeError) as error:
@@ -47,7 +47,7 @@
 
 
 def print_table(rows: Sequence[Mapping[str, Any]], columns: Sequence[str]) -> None:
-    """Print rows under a header, each column as wide as it needs."""
+    """Print rows under a header, with columns aligned."""
     cells = [[column.upper().replace("_", " ") for column in columns]]
     cells += [[_cell(row.get(column)) for column in columns] for row in rows]
     widths = [max(len(line[i]) for line in cells) for i in range(len(columns))]
@@ -56,8 +56,10 @@
         print("  ".join(padded).rstrip())
 
 
-def print_rows(rows: Sequence[Mapping[str, Any]], columns: Sequence[str], output: Format) -> None:
-    """Print rows in the format asked for."""
+def print_rows(
+    rows: Sequence[Mapping[str, Any]], columns: Sequence[str], output: OutputFormat
+) -> None:
+    """Print rows as a table or as JSON."""
     if output == "json":
         print_json(rows)
     else:
--- a/hornbeamgw/commands/plots.py
+++ b/hornbeamgw/commands/plots.py
@@ -1,4 +1,4 @@
-"""Plots: pictures of a version's spreading and of latency, by matplotlib."""
+"""Plots of version propagation and of latency, drawn with matplotlib."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def plot_timeline(rows: Sequence[Mapping[str, Any]], version: int, path: str) -> None:
-    """Draw when each daemon got a version (ms after acceptance), coloured by the way it came."""
+    """Plot when a version came into force on each daemon, in ms, coloured by propagation path."""
     figure, axes = _axes(f"version {version}: accepted, then in force on each daemon", len(rows))
     names = [f"{row['data_centre']}  {row['address']}" for row in rows]
     times = [row["ms"] or 0.0 for row in rows]
@@ -52,7 +52,7 @@
 
 
 def plot_histograms(rows: Sequence[Mapping[str, Any]], path: str) -> None:
-    """Draw the percentiles of latency (ms, logarithmic) for each owner, class and verdict."""
+    """Plot latency percentiles for each owner, class and verdict, in ms on a logarithmic scale."""
     figure, axes = _axes("latency by owner, class and verdict", 3 * len(rows))
     names = [f"{r['owner']} {r['class']} {r['verdict']} (n={r['count']})" for r in rows]
     for percentile in ("p99_ms", "p90_ms", "p50_ms"):
