--- a/hornbeamgw/commands/client.py
+++ b/hornbeamgw/commands/client.py
@@ -58,7 +58,10 @@
 async def get_from_each(
     addresses: Sequence[str], path: str, query: dict[str, str] | None = None
 ) -> dict[str, Any]:
-    """Send GET requests to many daemons concurrently; return documents by address, or None."""
+    """Send a GET request to each daemon, concurrently.
+
+    Returns documents by address, None for a daemon that did not respond.
+    """
     semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
     async def get_one(address: str) -> Any:
--- a/hornbeamgw/commands/plots.py
+++ b/hornbeamgw/commands/plots.py
@@ -37,7 +37,10 @@
 
 
 def plot_timeline(rows: Sequence[Mapping[str, Any]], version: int, path: str) -> None:
-    """Plot when a version came into force on each daemon, in ms, coloured by propagation path."""
+    """Plot the time in ms from acceptance of a version until it is in force on each daemon.
+
+    Bars are coloured by the path on which the version arrived.
+    """
     figure, axes = _axes(f"version {version}: accepted, then in force on each daemon", len(rows))
     names = [f"{row['data_centre']}  {row['address']}" for row in rows]
     times = [row["ms"] or 0.0 for row in rows]
