--- a/features/steps/crossing.py
+++ b/features/steps/crossing.py
@@ -93,7 +93,7 @@
     traits = RouteTraits(1.0)
     traits.service = mean / 1000
     traits.deviation = deviation / 1000
-    context.late = crossing.chance_late(traits, 1.0, 0.0, left / 1000)
+    context.late = crossing.late_probability(traits, 1.0, 0.0, left / 1000)
 
 
 @then("between {least:d} and {most:d} of 100 come late")
--- a/features/steps/outside.py
+++ b/features/steps/outside.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from hornbeamgw.core.membership import Status
-from hornbeamgw.core.rendezvous import READERS_IN_ALL, is_pusher
+from hornbeamgw.core.rendezvous import MIN_TOTAL_READERS, is_pusher
 from hornbeamgw.daemon import plugins
 from hornbeamgw.daemon.directory import TABLE
 from hornbeamgw.testing.local import LocalFleet, wait_for
@@ -278,7 +278,7 @@
     pushers = [
         daemon
         for daemon in context.living
-        if is_pusher(daemon.control.view.me, members, number, READERS_IN_ALL)
+        if is_pusher(daemon.control.view.me, members, number, MIN_TOTAL_READERS)
     ]
     assert len(pushers) == 2
     for daemon in pushers:
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -63,7 +63,7 @@
 
 @when('{count:d} lookups are sent to "{name}"')
 def sent(context, count, name):
-    context.by_name[name].load.sent_since += count
+    context.by_name[name].load.sent_since_report += count
 
 
 @when('"{name}" fails {failed:d} of {count:d} requests')
--- a/features/steps/reborn.py
+++ b/features/steps/reborn.py
@@ -183,7 +183,7 @@
     load = load_of(context, gate_member(1000), 1)
     placement.note_answer(RouteTraits(0.2), load, 5.0, 100)
     placement.note_outcome(load, True, 10.0)
-    assert load.slowness > 1 and load.failing > 0
+    assert load.slowness > 1 and load.failure_probability > 0
 
 
 @when("its record says that it was started at 2000")
@@ -193,7 +193,7 @@
 
 @then("nothing is known of its speed and its failures")
 def unknown(context):
-    assert context.load.slowness == 1 and context.load.failing == 0
+    assert context.load.slowness == 1 and context.load.failure_probability == 0
 
 
 # Heartbeats of other writers
--- a/features/steps/sampling.py
+++ b/features/steps/sampling.py
@@ -63,7 +63,7 @@
 
 @then("no server is asked")
 def none_asked(context):
-    assert not sampling.worth_asking(context.choice)
+    assert not sampling.should_ask(context.choice)
 
 
 @when("one of them is known to be three times as fast as the rest")
@@ -74,9 +74,9 @@
 
 @then("all servers asked first are of the own data centre, and that one is among them")
 def near(context):
-    assert sampling.worth_asking(context.choice)
+    assert sampling.should_ask(context.choice)
     asked = sampling.sample(context.choice, True, random.Random(1))
-    assert len(asked) == sampling.ASKED_BY_SPEED + sampling.ASKED_AT_RANDOM
+    assert len(asked) == sampling.ASKED_FASTEST + sampling.ASKED_AT_RANDOM
     assert {c.member.data_centre for c in asked} == {"dc-0"}
     assert context.fast in asked
 
@@ -84,7 +84,7 @@
 @then("those asked next are of other data centres")
 def far(context):
     asked = sampling.sample(context.choice, False, random.Random(1))
-    assert len(asked) == sampling.ASKED_BY_SPEED + sampling.ASKED_FAR_AT_RANDOM
+    assert len(asked) == sampling.ASKED_FASTEST + sampling.ASKED_REMOTE_AT_RANDOM
     assert "dc-0" not in {c.member.data_centre for c in asked}
 
 
@@ -97,8 +97,8 @@
 
 @then("leaving the data centre is {worth}")
 def leaving(context, worth):
-    is_worth = crossing.is_worth_leaving(context.choice, context.found)
-    assert is_worth is (worth == "worth"), crossing.loss(context.choice, context.found)
+    is_worth = crossing.is_remote_better(context.choice, context.found)
+    assert is_worth is (worth == "worth"), crossing.expected_loss(context.choice, context.found)
 
 
 def request(number, aim):
--- a/features/steps/spreading.py
+++ b/features/steps/spreading.py
@@ -262,7 +262,7 @@
 
 
 def reads(member, members):
-    return rendezvous.is_reader(member, members, rendezvous.READERS_IN_ALL)
+    return rendezvous.is_reader(member, members, rendezvous.MIN_TOTAL_READERS)
 
 
 @then("{count:d} of them are readers")
@@ -272,7 +272,7 @@
 
 
 def pushes(member, members, version):
-    return rendezvous.is_pusher(member, members, version, rendezvous.READERS_IN_ALL)
+    return rendezvous.is_pusher(member, members, version, rendezvous.MIN_TOTAL_READERS)
 
 
 @then("each of {versions:d} versions is pushed by {count:d} of them, readers both")
--- a/features/steps/subsetting.py
+++ b/features/steps/subsetting.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from hornbeamgw.core.membership import Member, ServerState, Status
-from hornbeamgw.core.subsetting import FAR_KEPT, known_servers
+from hornbeamgw.core.subsetting import N_REMOTE, server_subset
 from hornbeamgw.testing import simulated
 from hornbeamgw.testing.simulated import Fleet, Kind
 
@@ -22,7 +22,7 @@
         for i in range(count)
     ]
     context.me = Member("me", "dc-0", "r", 1)
-    context.before = names(known_servers(context.me, context.servers))
+    context.before = names(server_subset(context.me, context.servers))
 
 
 def names(members):
@@ -41,8 +41,8 @@
     counts = Counter()
     for number in range(DAEMONS):
         me = context.me._replace(address=f"daemon-{number}")
-        counts.update(names(known_servers(me, context.servers)) - names_near(context))
-    assert max(counts.values()) <= factor * FAR_KEPT * DAEMONS / len(counts), counts.most_common(3)
+        counts.update(names(server_subset(me, context.servers)) - names_near(context))
+    assert max(counts.values()) <= factor * N_REMOTE * DAEMONS / len(counts), counts.most_common(3)
 
 
 def names_near(context):
@@ -62,14 +62,14 @@
 
 @then("a daemon that dealt with it deals with one it did not, and the others go on as before")
 def replaced(context):
-    after = names(known_servers(context.me, context.left))
+    after = names(server_subset(context.me, context.left))
     assert context.before - after == {context.gone}
     assert len(after - context.before) == 1
     for number in range(DAEMONS):
         me = context.me._replace(address=f"daemon-{number}")
-        known = names(known_servers(me, context.servers))
+        known = names(server_subset(me, context.servers))
         if context.gone not in known:
-            assert names(known_servers(me, context.left)) == known
+            assert names(server_subset(me, context.left)) == known
 
 
 @when("all but {count:d} of the other data centres are in doubt")
@@ -83,7 +83,7 @@
 
 @then("a daemon deals with those {living:d}, and with {doubted:d} in doubt")
 def living_first(context, living, doubted):
-    far = names(known_servers(context.me, context.servers)) - names_near(context)
+    far = names(server_subset(context.me, context.servers)) - names_near(context)
     assert context.living <= far and len(context.living) == living
     assert len(far) == living + doubted
 
--- a/hornbeamgw/core/balancing.py
+++ b/hornbeamgw/core/balancing.py
@@ -1,4 +1,4 @@
-"""Balancing: choose a backend server for an attempt; policies register themselves."""
+"""Load balancing: select a backend server for an attempt, with a registry of policies."""
 
 from __future__ import annotations
 
@@ -19,19 +19,42 @@
     from hornbeamgw.core.placement import RouteTraits
 
 SLOW_START_S = 5.0
-SLOW_START_FLOOR = 0.1
-EJECT_AFTER_FAILURES = 5
+SLOW_START_MIN_RATIO = 0.1
+EJECT_FAILURE_THRESHOLD = 5
 EJECT_BASE_S = 1.0
-EJECT_UNREACHABLE_S = 0.5  # a daemon that is killed is back after about a second
+EJECT_UNREACHABLE_S = 0.5  # a killed daemon is restarted in about a second
 EJECT_MAX_S = 30.0
-EJECT_CEILING = 0.5
+EJECT_MAX_RATIO = 0.5
 
 
 class Load:
-    """Hold what this daemon itself saw of one backend server."""
+    """Load and health of one backend server as observed by this daemon.
+
+    Attributes
+    ----------
+    outstanding : int
+        Calls sent by this daemon that have not completed.
+    free_slots : int or None
+        Free slots in the last report from the server's daemon; None before the first report.
+    failures : int
+        Consecutive failed attempts.
+    ejections : int
+        Consecutive ejections, which set the length of the next one.
+    ejected_until, first_seen, reported_at, outcome_at : float
+        Times in seconds: the end of the ejection, the first sighting of the server, its last
+        report and the last outcome of an attempt.
+    wait : float
+        Queueing time in seconds in the last report.
+    sent_since_report : int
+        Attempts sent since the last report.
+    slowness : float
+        Service time relative to the mean of the route; 1 is average, larger is slower.
+    failure_probability : float
+        Smoothed ratio of failed attempts, as of `outcome_at`.
+    """
 
     def __init__(self, now: float) -> None:
-        """Start with nothing outstanding."""
+        """Create the state of a server first seen at `now` (seconds)."""
         self.outstanding = 0
         self.free_slots: int | None = None
         self.failures = 0
@@ -40,16 +63,17 @@
         self.first_seen = now
         self.wait = 0.0
         self.reported_at = now
-        self.sent_since = 0
+        self.sent_since_report = 0
         self.slowness = 1.0
-        self.failing = 0.0
+        self.failure_probability = 0.0
         self.outcome_at = now
 
 
 class Candidate(NamedTuple):
-    """Hold a backend server that may take an attempt, by the record that describes it alone.
+    """A backend server that may receive an attempt.
 
-    Its key tells it from all others; every choice goes through those of all candidates.
+    `member` is a membership record that describes this server alone, and `key` identifies the
+    server among all candidates.
     """
 
     member: Member
@@ -58,7 +82,7 @@
 
 
 def candidate_of(member: Member, load: Load) -> Candidate:
-    """Return a backend server that may take an attempt."""
+    """Return the candidate for the only server of a membership record."""
     return Candidate(member, load, server_key(member))
 
 
@@ -67,7 +91,7 @@
 
 
 def register(name: str) -> Callable[[Policy], Policy]:
-    """Register a balancing policy under the name that settings use."""
+    """Register a balancing policy under its name in the settings."""
 
     def add(policy: Policy) -> Policy:
         policies_by_name[name] = policy
@@ -82,13 +106,13 @@
     if load.free_slots is not None:
         used = max(used, slots - load.free_slots)
     age = now - load.first_seen
-    warmth = max(SLOW_START_FLOOR, min(1.0, age / SLOW_START_S))
-    return (used + 1) / (slots * warmth)
+    ramp = max(SLOW_START_MIN_RATIO, min(1.0, age / SLOW_START_S))
+    return (used + 1) / (slots * ramp)
 
 
 @register("two_choice")
 def two_choice(candidates: Sequence[Candidate], now: float, rng: random.Random) -> Candidate:
-    """Take the better of two random candidates by outstanding calls and free slots."""
+    """Return the less loaded of two random candidates (power of two choices)."""
     if len(candidates) == 1:
         return candidates[0]
     first, second = rng.sample(candidates, 2)
@@ -97,39 +121,42 @@
 
 @register("round_robin")
 def round_robin(candidates: Sequence[Candidate], now: float, rng: random.Random) -> Candidate:
-    """Take the candidates in equal shares, whatever their load (a baseline)."""
+    """Return a uniformly random candidate regardless of load (baseline)."""
     return rng.choice(candidates)
 
 
 @register("least_outstanding")
 def least_outstanding(candidates: Sequence[Candidate], now: float, rng: random.Random) -> Candidate:
-    """Take the candidate with the fewest of one's own calls (a baseline)."""
+    """Return the candidate with the fewest outstanding calls from this daemon (baseline)."""
     fewest = min(c.load.outstanding for c in candidates)
     return rng.choice([c for c in candidates if c.load.outstanding == fewest])
 
 
 def note_failure(load: Load, now: float) -> None:
-    """Count a failed attempt; eject for a while after several in a row."""
+    """Count a failed attempt and eject the server after several consecutive failures.
+
+    The ejection time doubles with each consecutive ejection.
+    """
     load.failures += 1
-    if load.failures >= EJECT_AFTER_FAILURES:
+    if load.failures >= EJECT_FAILURE_THRESHOLD:
         load.ejected_until = now + min(EJECT_MAX_S, EJECT_BASE_S * 2**load.ejections)
         load.ejections += 1
         load.failures = 0
 
 
 def note_unreachable(load: Load, now: float) -> None:
-    """Leave a server alone for a while whose daemon can't be reached."""
+    """Eject a server briefly because its daemon is unreachable."""
     load.ejected_until = max(load.ejected_until, now + EJECT_UNREACHABLE_S)
 
 
 def note_success(load: Load) -> None:
-    """Forget earlier failures."""
+    """Reset the failure and ejection counts."""
     load.failures = 0
     load.ejections = 0
 
 
 def serving(members: Collection[Member], service: str) -> list[Member]:
-    """Return the records of backend servers that take new work for a service, one for each."""
+    """Return one record for each backend server that accepts new requests for a service."""
     return [
         m
         for member in members
@@ -142,7 +169,7 @@
 
 def _without_ejected(candidates: list[Candidate], now: float) -> list[Candidate]:
     kept = [c for c in candidates if c.load.ejected_until <= now]
-    return kept if len(kept) >= len(candidates) * (1 - EJECT_CEILING) else candidates
+    return kept if len(kept) >= len(candidates) * (1 - EJECT_MAX_RATIO) else candidates
 
 
 def _has_room(candidate: Candidate) -> bool:
@@ -152,7 +179,7 @@
     return load.free_slots is None or load.free_slots > 0
 
 
-def _tiers(me: Member, candidates: list[Candidate]) -> list[list[Candidate]]:
+def _locality_tiers(me: Member, candidates: list[Candidate]) -> list[list[Candidate]]:
     alive = [c for c in candidates if c.member.status is Status.ALIVE]
     local = [c for c in alive if c.member.data_centre == me.data_centre]
     region = [c for c in alive if c.member.region == me.region]
@@ -160,24 +187,38 @@
 
 
 class Choice(NamedTuple):
-    """Hold what a backend server is chosen by, for one attempt.
-
-    The aim is the route's objective (s), and the objective the time by which this one should be
-    answered.
+    """The inputs for selecting a backend server for one attempt.
+
+    Attributes
+    ----------
+    me : Member
+        The member that selects.
+    candidates : list of Candidate
+        The servers to select from.
+    tried : collection of str
+        Keys of the servers that previous attempts of the call were sent to.
+    traits : RouteTraits
+        Size and service time of the route's requests.
+    latency_objective : float
+        Latency objective of the route, in seconds.
+    now : float
+        Current time in seconds.
+    answer_by : float
+        Time in seconds at which the call exceeds its latency objective.
     """
 
     me: Member
     candidates: list[Candidate]
     tried: Collection[str]
     traits: RouteTraits
-    aim: float
+    latency_objective: float
     now: float
-    objective: float = math.inf
+    answer_by: float = math.inf
 
     @property
-    def left(self) -> float:
-        """Return how much time (s) is left to answer within the objective."""
-        return min(self.aim, self.objective - self.now)
+    def time_left(self) -> float:
+        """Return the time in seconds left to answer within the latency objective."""
+        return min(self.latency_objective, self.answer_by - self.now)
 
 
 Chooser = Callable[[Choice, random.Random], Candidate | None]
@@ -185,7 +226,7 @@
 
 
 def register_chooser(name: str) -> Callable[[Chooser], Chooser]:
-    """Register a way to choose among all servers under the name that settings use."""
+    """Register a function that selects among all servers under its name in the settings."""
 
     def add(chooser: Chooser) -> Chooser:
         choosers_by_name[name] = chooser
@@ -195,7 +236,7 @@
 
 
 def chooser_of(name: str) -> Chooser:
-    """Return the way to choose of that name; a policy chooses within the nearest tier."""
+    """Return the chooser of that name; a policy is applied to the nearest tier with free slots."""
     if name in choosers_by_name:
         return choosers_by_name[name]
     policy = policies_by_name[name]
@@ -214,9 +255,9 @@
     now: float,
     rng: random.Random,
 ) -> Candidate | None:
-    """Return a backend server: nearest with room first, and one not tried before if any."""
+    """Return a server from the nearest tier with free slots, preferring untried servers."""
     fresh = [c for c in candidates if c.key not in tried] or candidates
-    tiers = _tiers(me, _without_ejected(fresh, now))
+    tiers = _locality_tiers(me, _without_ejected(fresh, now))
     for tier in tiers:
         with_room = [c for c in tier if _has_room(c)]
         if with_room:
--- a/hornbeamgw/core/crossing.py
+++ b/hornbeamgw/core/crossing.py
@@ -1,9 +1,11 @@
-"""Crossing: whether a call leaves its data centre, by what that changes for its caller.
+"""Crossing: decide whether a call leaves its data centre.
 
-The pattern: data centres with one or two servers of a service each, whose speeds differ three to
-one, and links between them that are dear. An answer within its objective is worth the same whenever
-it comes, so a call stays in its data centre while that is likely to answer in time, and crosses
-where the better chance elsewhere outweighs the bytes that move for it.
+Data centres may have only one or two servers of a service, of different speeds, and traffic between
+data centres is expensive. Any answer within the latency objective has the same value, so a call
+stays local while the local server is likely to answer in time. It goes to another data centre if
+the higher probability of a timely answer outweighs the cost of the transferred bytes.
+
+Losses and costs are expressed as fractions of the value of a timely answer.
 """
 
 from __future__ import annotations
@@ -17,100 +19,118 @@
 from hornbeamgw.core.membership import Member, Status
 from hornbeamgw.core.placement import RouteTraits
 
-# The log of service times is taken for normal; for that the mean deviation, as a part of the mean,
-# is 0.8 of the log's standard deviation (exact to 3% up to 0.8, the widest on the users' sheets).
-SPREAD_OF_DEVIATION = 1.25
-LEAST_SPREAD = 0.2
-# Bytes whose way to another data centre costs half of what an answer in time is worth. On the
-# users' sheets that is 3.5 KB where crossing is dear and 70 to 140 KB where it is not.
-HALF_WORTH_BYTES = 5_000
-# What a late answer is worth of one in time: 0.1 to 0.5 on the users' sheets.
-LATE_WORTH = 0.2
-# Among servers that are as likely to answer in time, the sooner one; a whole objective weighs as
-# much as this part of an answer.
-FINISH_WEIGHT = 0.1
-TIE = 0.002
-# A body from this size on crosses only after the daemon there has said that it would take the call:
-# asking takes 110 bytes both ways, and of calls that crossed two in five were refused.
-ASK_FROM_BYTES = 512
-
-
-def chance_late(traits: RouteTraits, slowness: float, wait: float, left: float) -> float:
-    """Return how likely an answer comes later than the time left (s), after a wait (s)."""
+# Service times are modelled as log-normal. Multiplying their relative mean deviation by this factor
+# approximates the standard deviation of their logarithm.
+LOG_SPREAD_PER_DEVIATION = 1.25
+MIN_LOG_SPREAD = 0.2
+# Transfer size that costs half the value of a timely answer.
+HALF_VALUE_BYTES = 5_000
+# Value of a late answer relative to a timely one.
+LATE_VALUE_RATIO = 0.2
+# Loss for a completion time equal to the latency objective. It prefers the faster of two servers
+# that are equally likely to answer in time.
+COMPLETION_TIME_WEIGHT = 0.1
+# Range of the random offset that breaks ties.
+TIE_BREAK_LOSS = 0.002
+# Larger bodies are sent to another data centre only after the daemon there has agreed to accept the
+# call, since a refusal would waste the transfer.
+ASK_FIRST_MIN_BYTES = 512
+
+
+def late_probability(traits: RouteTraits, slowness: float, wait: float, time_left: float) -> float:
+    """Return the probability that an answer takes longer than the time left.
+
+    Parameters
+    ----------
+    traits : RouteTraits
+        Service time of the route's requests.
+    slowness : float
+        Service time of the server relative to the mean.
+    wait : float
+        Time in seconds before the server starts on the request.
+    time_left : float
+        Time in seconds until the latency objective is exceeded.
+    """
     mean = traits.service * slowness
-    room = left - wait
-    if room <= 0:
+    available = time_left - wait
+    if available <= 0:
         return 1.0
-    spread = max(LEAST_SPREAD, SPREAD_OF_DEVIATION * traits.deviation / max(traits.service, 1e-6))
-    z = (math.log(room / max(mean, 1e-6)) + spread * spread / 2) / spread
+    spread = max(
+        MIN_LOG_SPREAD, LOG_SPREAD_PER_DEVIATION * traits.deviation / max(traits.service, 1e-6)
+    )
+    z = (math.log(available / max(mean, 1e-6)) + spread * spread / 2) / spread
     return 0.5 * math.erfc(z / math.sqrt(2))
 
 
-def toll(size: float) -> float:
-    """Return which part of an answer's worth moving some bytes between data centres costs."""
-    return size / (size + HALF_WORTH_BYTES)
+def transfer_cost(size: float) -> float:
+    """Return the cost of transferring `size` bytes between data centres."""
+    return size / (size + HALF_VALUE_BYTES)
 
 
-def _is_far(choice: Choice, candidate: Candidate) -> bool:
+def _is_remote(choice: Choice, candidate: Candidate) -> bool:
     return candidate.member.data_centre != choice.me.data_centre
 
 
-def _wait(choice: Choice, candidate: Candidate) -> float:
+def _expected_delay(choice: Choice, candidate: Candidate) -> float:
     wait = placement.expected_wait(candidate, choice.traits, choice.now)
-    if _is_far(choice, candidate):
-        wait += placement.OTHER_DATA_CENTRE_S
+    if _is_remote(choice, candidate):
+        wait += placement.CROSS_DATA_CENTRE_RTT_S
     if candidate.member.status is not Status.ALIVE:
-        wait += placement.SUSPECT_S
+        wait += placement.SUSPECT_PENALTY_S
     return wait
 
 
-def loss(choice: Choice, candidate: Candidate) -> float:
-    """Return which part of an answer's worth is expected to be lost at a server."""
-    load, wait = candidate.load, _wait(choice, candidate)
-    late = chance_late(choice.traits, load.slowness, wait, choice.left)
+def expected_loss(choice: Choice, candidate: Candidate) -> float:
+    """Return the expected loss if the call is sent to a server."""
+    load, wait = candidate.load, _expected_delay(choice, candidate)
+    late = late_probability(choice.traits, load.slowness, wait, choice.time_left)
     finish = wait + choice.traits.service * load.slowness
-    lost = late * (1 - LATE_WORTH) + placement.failing(load, choice.now)
-    lost += FINISH_WEIGHT * finish / choice.aim
-    return lost + toll(choice.traits.size) if _is_far(choice, candidate) else lost
+    loss = late * (1 - LATE_VALUE_RATIO) + placement.failure_probability(load, choice.now)
+    loss += COMPLETION_TIME_WEIGHT * finish / choice.latency_objective
+    return loss + transfer_cost(choice.traits.size) if _is_remote(choice, candidate) else loss
 
 
-def is_worth_leaving(choice: Choice, near: Candidate | None) -> bool:
-    """Return whether an idle server elsewhere would be better than the best one found near."""
-    if near is None:
+def is_remote_better(choice: Choice, local: Candidate | None) -> bool:
+    """Return whether an idle remote server would beat the best local one, if any."""
+    if local is None:
         return True
-    traits, wait = choice.traits, placement.OTHER_DATA_CENTRE_S
-    late = chance_late(traits, 1.0, wait, choice.left)
-    elsewhere = late * (1 - LATE_WORTH) + toll(traits.size)
-    elsewhere += FINISH_WEIGHT * (wait + traits.service) / choice.aim
-    return loss(choice, near) > elsewhere
+    traits, wait = choice.traits, placement.CROSS_DATA_CENTRE_RTT_S
+    late = late_probability(traits, 1.0, wait, choice.time_left)
+    remote_loss = late * (1 - LATE_VALUE_RATIO) + transfer_cost(traits.size)
+    remote_loss += COMPLETION_TIME_WEIGHT * (wait + traits.service) / choice.latency_objective
+    return expected_loss(choice, local) > remote_loss
 
 
-class Why(enum.StrEnum):
-    """Say why a call leaves its data centre."""
+class RemoteReason(enum.StrEnum):
+    """Why a call is sent to another data centre."""
 
     NONE_NEAR = "none near"
     NEAR_REFUSED = "near refused"
     NEAR_LATE = "near late"
 
 
-def why_far(choice: Choice, chosen: Candidate) -> Why | None:
-    """Return why a call goes to another data centre, or None where it does not."""
-    own = choice.me.data_centre
-    if chosen.member.data_centre == own:
+def why_far(choice: Choice, chosen: Candidate) -> RemoteReason | None:
+    """Return why a call is sent to another data centre, or None if it stays local."""
+    local_data_centre = choice.me.data_centre
+    if chosen.member.data_centre == local_data_centre:
         return None
-    near = [c.key for c in choice.candidates if c.member.data_centre == own]
-    if not near:
-        return Why.NONE_NEAR
-    return Why.NEAR_REFUSED if set(near) <= set(choice.tried) else Why.NEAR_LATE
+    local = [c.key for c in choice.candidates if c.member.data_centre == local_data_centre]
+    if not local:
+        return RemoteReason.NONE_NEAR
+    return RemoteReason.NEAR_REFUSED if set(local) <= set(choice.tried) else RemoteReason.NEAR_LATE
 
 
-def is_worth_asking(me: Member, chosen: Candidate, body_size: int) -> bool:
-    """Return whether to ask a daemon before a body of some bytes is sent to it."""
-    return chosen.member.data_centre != me.data_centre and body_size >= ASK_FROM_BYTES
+def should_ask_first(me: Member, chosen: Candidate, body_size: int) -> bool:
+    """Return whether the chosen server's daemon is asked before a body (bytes) is sent."""
+    return chosen.member.data_centre != me.data_centre and body_size >= ASK_FIRST_MIN_BYTES
 
 
 @register_chooser("in_time")
 def choose(choice: Choice, rng: random.Random) -> Candidate | None:
-    """Return the server where least is expected to be lost."""
-    usable = placement.fit(choice)
-    return min(usable, key=lambda c: loss(choice, c) + rng.uniform(0, TIE), default=None)
+    """Return the server with the smallest expected loss, or None."""
+    usable = placement.usable_candidates(choice)
+    return min(
+        usable,
+        key=lambda c: expected_loss(choice, c) + rng.uniform(0, TIE_BREAK_LOSS),
+        default=None,
+    )
--- a/hornbeamgw/core/placement.py
+++ b/hornbeamgw/core/placement.py
@@ -1,13 +1,14 @@
-"""Placement: choose the backend server that is expected to answer first.
+"""Placement: select the backend server that is expected to answer first.
 
-The users' services have three to five servers, whose speeds differ three to one, so all of them
-are compared for each request: by the wait that the daemon beside a server reported with its last
-answer, by what was sent there since, and by how fast that server has been. Choosing a nearby
-server until it is full would send work to a slow one while a fast one is free 1.4 ms away; but an
-answer's bytes between data centres are dear, so large ones weigh against leaving one's own.
+Server speeds within a service can differ by a factor of three, so all servers are compared for each
+request. The estimate combines the queueing time in the last report of the server's daemon, the
+attempts sent since that report, and the measured relative speed of the server. Selecting a local
+server until it is full would send work to a slow server while a fast one is idle in another data
+centre. Traffic between data centres is expensive, so large requests and answers count against
+remote servers.
 
-A server that refuses or breaks part of its requests is not ejected outright: each failure weighs
-by its likelihood, and wears off, so that it is tried again by a few requests first.
+A server that refuses or fails some of its requests is not ejected. Its failure probability adds to
+its cost and decays over time, so the server receives a few requests again before full traffic.
 """
 
 from __future__ import annotations
@@ -18,61 +19,78 @@
 from hornbeamgw.core.membership import Member, Status
 from hornbeamgw.core.service_times import GUESS_OF_OBJECTIVE
 
-# A round trip between data centres, 2 x 1.4 ms on the users' sheets.
-OTHER_DATA_CENTRE_S = 0.003
-# Moving 1 KB between data centres weighs as much as 1 ms of waiting: at the users' prices a
-# roster of 90 KB costs two thirds of its worth there, and a lookup of 1.5 KB a hundredth.
-S_PER_BYTE_BETWEEN_DATA_CENTRES = 1e-6
-# A doubted member is used only if no other can answer within its probe's time.
-SUSPECT_S = 1.0
-# Weight of the newest outcome, and how fast (1/s) old failures are forgotten.
-OUTCOME_WEIGHT = 0.15
-FORGIVE_PER_S = 0.25
-# Reports older than this say nothing: a queue that long is dropped by then.
+# Network round trip between data centres.
+CROSS_DATA_CENTRE_RTT_S = 0.003
+# Cost of transferred bytes: 1 KB between data centres weighs as much as 1 ms of latency.
+CROSS_DATA_CENTRE_S_PER_BYTE = 1e-6
+# Added to the cost of a suspected member, which is selected only if no other server is expected to
+# answer within this time.
+SUSPECT_PENALTY_S = 1.0
+# Smoothing factor of the failure probability, and the rate (1/s) at which it decays.
+OUTCOME_SMOOTHING_FACTOR = 0.15
+FAILURE_DECAY_PER_S = 0.25
+# Older load reports are ignored.
 REPORT_MAX_AGE_S = 1.0
-TIE_S = 0.001
-ROUTE_WEIGHT = 0.05
+# Range of the random offset that breaks ties.
+TIE_BREAK_S = 0.001
+TRAITS_SMOOTHING_FACTOR = 0.05
 COLD_FACTOR = 2.0
 
 
 class RouteTraits:
-    """Hold what answers of a route are like, whichever server gives them."""
-
-    def __init__(self, aim: float) -> None:
-        """Start with a guess by the route's objective (s)."""
-        self.service = GUESS_OF_OBJECTIVE * aim
+    """Properties of a route's requests, independent of the server.
+
+    Attributes
+    ----------
+    service : float
+        Smoothed service time in seconds, normalised to a server of average speed.
+    deviation : float
+        Mean absolute deviation of the service time, in seconds.
+    size : float
+        Smoothed size in bytes of a request and its answer.
+    """
+
+    def __init__(self, latency_objective: float) -> None:
+        """Derive initial estimates from the route's latency objective in seconds."""
+        self.service = GUESS_OF_OBJECTIVE * latency_objective
         self.deviation = self.service / 2
         self.size = 0.0
 
 
 def note_answer(traits: RouteTraits, load: Load, service: float, size: int) -> None:
-    """Take how long (s) a server held a request, and the bytes that it and its answer took."""
+    """Update the estimates from the service time (s) and the size (bytes) of one exchange."""
     ratio = min(20.0, max(0.05, service / max(traits.service, 1e-4)))
-    load.slowness += ROUTE_WEIGHT * 2 * (ratio - load.slowness)
+    load.slowness += TRAITS_SMOOTHING_FACTOR * 2 * (ratio - load.slowness)
     normal = service / max(load.slowness, 0.05)
-    traits.deviation += ROUTE_WEIGHT * (abs(normal - traits.service) - traits.deviation)
-    traits.service += ROUTE_WEIGHT * (normal - traits.service)
-    traits.size += ROUTE_WEIGHT * (size - traits.size)
+    traits.deviation += TRAITS_SMOOTHING_FACTOR * (abs(normal - traits.service) - traits.deviation)
+    traits.service += TRAITS_SMOOTHING_FACTOR * (normal - traits.service)
+    traits.size += TRAITS_SMOOTHING_FACTOR * (size - traits.size)
 
 
 def note_report(load: Load, free_slots: int, wait: float, now: float) -> None:
-    """Take what the daemon beside a server said of its slots and of the wait (s) there."""
+    """Store a server's free slots and queueing time (s) as reported by its daemon."""
     load.free_slots = free_slots
     load.wait = wait
     load.reported_at = now
-    load.sent_since = 0
+    load.sent_since_report = 0
 
 
 def note_outcome(load: Load, failed: bool, now: float) -> None:
-    """Take whether an attempt failed by the server's fault."""
-    load.failing = failing(load, now) * (1 - OUTCOME_WEIGHT) + OUTCOME_WEIGHT * failed
+    """Update the failure probability with the outcome of an attempt.
+
+    `failed` is whether the attempt failed because of the server.
+    """
+    load.failure_probability = (
+        failure_probability(load, now) * (1 - OUTCOME_SMOOTHING_FACTOR)
+        + OUTCOME_SMOOTHING_FACTOR * failed
+    )
     load.outcome_at = now
 
 
-def failing(load: Load, now: float) -> float:
-    """Return the likelihood that an attempt fails there; it wears off while nothing is tried."""
+def failure_probability(load: Load, now: float) -> float:
+    """Return the probability that an attempt fails; it decays while there are no attempts."""
     age = max(0.0, now - load.outcome_at)
-    return load.failing / (1 + FORGIVE_PER_S * age)
+    return load.failure_probability / (1 + FAILURE_DECAY_PER_S * age)
 
 
 def _wait(load: Load, slots: int, service: float, now: float) -> float:
@@ -80,63 +98,66 @@
         ahead = load.outstanding - slots
         return max(0.0, ahead + 1) * service / slots
     wait = max(0.0, load.wait - (now - load.reported_at))
-    ahead = load.sent_since + 1 - load.free_slots
+    ahead = load.sent_since_report + 1 - load.free_slots
     return wait + max(0, ahead) * service / slots if ahead > 0 else wait
 
 
 def expected_wait(candidate: Candidate, traits: RouteTraits, now: float) -> float:
-    """Return how long (s) a request is expected to wait for a slot there."""
+    """Return the expected time in seconds that a request waits for a slot at a server."""
     member, load = candidate.member, candidate.load
     return _wait(load, max(1, member.slots), traits.service * load.slowness, now)
 
 
 def expected_finish(
-    me: Member, candidate: Candidate, traits: RouteTraits, aim: float, now: float
+    me: Member, candidate: Candidate, traits: RouteTraits, latency_objective: float, now: float
 ) -> float:
-    """Return when (s from now) a server is expected to have answered, and what weighs like it."""
+    """Return the expected completion time of a request, in seconds from now, plus penalties.
+
+    Failures, traffic between data centres and suspected members add equivalent seconds.
+    """
     member, load = candidate.member, candidate.load
     service = traits.service * load.slowness
     finish = expected_wait(candidate, traits, now) + service
-    finish += failing(load, now) * aim
+    finish += failure_probability(load, now) * latency_objective
     if member.data_centre != me.data_centre:
-        finish += OTHER_DATA_CENTRE_S + traits.size * S_PER_BYTE_BETWEEN_DATA_CENTRES
+        finish += CROSS_DATA_CENTRE_RTT_S + traits.size * CROSS_DATA_CENTRE_S_PER_BYTE
     if member.status is not Status.ALIVE:
-        finish += SUSPECT_S
+        finish += SUSPECT_PENALTY_S
     return finish
 
 
-def fit(choice: Choice) -> list[Candidate]:
-    """Return the servers not tried yet, those that were out of reach only if there is no other."""
+def usable_candidates(choice: Choice) -> list[Candidate]:
+    """Return the servers not tried yet; ejected ones only if there are no others."""
     untried = [c for c in choice.candidates if c.key not in choice.tried]
     return [c for c in untried if c.load.ejected_until <= choice.now] or untried
 
 
 class PlacementState:
-    """Hold the traits of each route."""
+    """The traits of each route."""
 
     def __init__(self) -> None:
-        """Start with nothing measured."""
+        """Start without measurements."""
         self.traits_by_route: dict[str, RouteTraits] = {}
 
 
-def traits_of(state: PlacementState, route: str, aim: float) -> RouteTraits:
-    """Return the traits of a route; a new one starts with a guess."""
+def traits_of(state: PlacementState, route: str, latency_objective: float) -> RouteTraits:
+    """Return the traits of a route, creating them from its latency objective (s) if missing."""
     traits = state.traits_by_route.get(route)
     if traits is None:
-        traits = state.traits_by_route[route] = RouteTraits(aim)
+        traits = state.traits_by_route[route] = RouteTraits(latency_objective)
     return traits
 
 
 @register_chooser("expected_finish")
 def choose(choice: Choice, rng: random.Random) -> Candidate | None:
-    """Return the server that is expected to answer first, none twice while there are others."""
+    """Return the untried server with the earliest expected completion, or None."""
     now = choice.now
-    usable = fit(choice)
+    usable = usable_candidates(choice)
     if not usable:
         return None
 
     def cost(candidate: Candidate) -> float:
-        finish = expected_finish(choice.me, candidate, choice.traits, choice.aim, now)
-        return finish + rng.uniform(0, TIE_S)
+        finish = expected_finish(choice.me, candidate, choice.traits, choice.latency_objective, now)
+        return finish + rng.uniform(0, TIE_BREAK_S)
 
     return min(usable, key=cost)
--- a/hornbeamgw/core/spreading.py
+++ b/hornbeamgw/core/spreading.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from hornbeamgw.core.membership import Member, Status
-from hornbeamgw.core.rendezvous import top
+from hornbeamgw.core.rendezvous import select_members
 
 FANOUT = 4
 LOWEST = ""
@@ -87,7 +87,7 @@
 
 def _relay(group: Sequence[Member], version: int, scope: Scope) -> Target:
     alive = [m for m in group if m.status is Status.ALIVE] or group
-    return Target(top(str(version), alive, 1)[0].address, scope)
+    return Target(select_members(str(version), alive, 1)[0].address, scope)
 
 
 def _relays(
--- a/hornbeamgw/core/subsetting.py
+++ b/hornbeamgw/core/subsetting.py
@@ -1,10 +1,9 @@
-"""Subsetting: which servers of a service a daemon deals with, where there are many.
+"""Subsetting: limit the servers that a daemon connects to in large services.
 
-The pattern: a service of 80 servers in five data centres, two slots each, and 200 daemons that each
-send a few requests a second. A daemon that deals with all of them opens a link to each, 63 KB of
-compression at either end, and what it remembers of each is seconds old. Servers of one's own data
-centre are few and take most calls; of the others each daemon keeps some, drawn by its own name, so
-that together they spread over all.
+Connecting to every server of a large service costs memory for each link, and the load recorded for
+each server is outdated because it is rarely used. A daemon uses all servers in its own data centre
+and a subset of the remote ones. Subsets are selected by rendezvous hashing on the daemon's address,
+so that together the daemons cover all servers evenly.
 """
 
 from __future__ import annotations
@@ -12,23 +11,24 @@
 from collections.abc import Sequence
 
 from hornbeamgw.core.membership import Member, Status
-from hornbeamgw.core.rendezvous import top
+from hornbeamgw.core.rendezvous import select_members
 
-# A call that leaves its data centre is offered to two of them (sampling); twelve lose no call more
-# than all would in simulated time, and leave enough where a third of a fleet is gone.
-FAR_KEPT = 12
+# Number of remote servers in a subset; leaves enough of them when a third of the fleet fails.
+N_REMOTE = 12
 
 
-def known_servers(me: Member, servers: Sequence[Member], far: int = FAR_KEPT) -> list[Member]:
-    """Return the servers of one's own data centre and some others, living ones first."""
-    near = [member for member in servers if member.data_centre == me.data_centre]
-    others = [member for member in servers if member.data_centre != me.data_centre]
-    if len(others) <= far:
-        return [*near, *others]
-    duty = f"servers of {me.address}"
-    living = [member for member in others if member.status is Status.ALIVE]
-    kept = top(duty, living, far)
-    if len(kept) < far:
-        doubted = [member for member in others if member.status is not Status.ALIVE]
-        kept += top(duty, doubted, far - len(kept))
-    return [*near, *kept]
+def server_subset(
+    me: Member, servers: Sequence[Member], remote_count: int = N_REMOTE
+) -> list[Member]:
+    """Return all local servers and at most `remote_count` remote ones, preferring alive members."""
+    local = [member for member in servers if member.data_centre == me.data_centre]
+    remote = [member for member in servers if member.data_centre != me.data_centre]
+    if len(remote) <= remote_count:
+        return [*local, *remote]
+    role = f"servers of {me.address}"
+    alive = [member for member in remote if member.status is Status.ALIVE]
+    chosen = select_members(role, alive, remote_count)
+    if len(chosen) < remote_count:
+        suspected = [member for member in remote if member.status is not Status.ALIVE]
+        chosen += select_members(role, suspected, remote_count - len(chosen))
+    return [*local, *chosen]
--- a/hornbeamgw/daemon/call.py
+++ b/hornbeamgw/daemon/call.py
@@ -12,7 +12,7 @@
 
 from hornbeamgw.core import placement, sampling
 from hornbeamgw.core.balancing import Candidate
-from hornbeamgw.core.crossing import Why
+from hornbeamgw.core.crossing import RemoteReason
 from hornbeamgw.core.dialect import Dialect
 from hornbeamgw.core.fingerprint import UNKNOWN, as_text, fingerprint_of
 from hornbeamgw.core.membership import Member
@@ -56,13 +56,13 @@
     why_far: str | None
 
 
-def placed_at(chosen: Candidate, why_far: Why | None, now: float) -> Placed:
+def placed_at(chosen: Candidate, why_far: RemoteReason | None, now: float) -> Placed:
     """Return where an attempt goes, by which report, and why to another data centre."""
     load = chosen.load
     age_ms = round((now - load.reported_at) * 1000)
-    failing = round(placement.failing(load, now), 2)
+    failure_probability = round(placement.failure_probability(load, now), 2)
     wait_ms = round(load.wait * 1000)
-    return Placed(chosen.key, load.free_slots, wait_ms, age_ms, failing, why_far)
+    return Placed(chosen.key, load.free_slots, wait_ms, age_ms, failure_probability, why_far)
 
 
 class Call:
@@ -86,9 +86,9 @@
         self.came_back = False
         self.time_left_ms = 0
         self.asked = 0
-        self.rounds_left = sampling.ROUNDS
+        self.rounds_left = sampling.MAX_ROUNDS
         self.takers: list[Candidate] = []
-        self.why_far: Why | None = None
+        self.why_far: RemoteReason | None = None
         self.waited = 0.0  # s, for servers that were about to be replaced
         self.retry_after_ms = 0
         self.arrivals = 0
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -393,7 +393,7 @@
             attempt.server,
             round(self._servers.traits_of(call).service * 1000),
         )
-        attempt.load.sent_since += 1
+        attempt.load.sent_since_report += 1
         attempt.link.send(frame)
 
     async def _await_answer(
--- a/hornbeamgw/daemon/directory.py
+++ b/hornbeamgw/daemon/directory.py
@@ -17,7 +17,7 @@
 from hornbeamgw.backends.rows import RowPage, RowStore, StoredRow
 from hornbeamgw.core import membership
 from hornbeamgw.core.membership import Member, Status
-from hornbeamgw.core.rendezvous import top
+from hornbeamgw.core.rendezvous import select_members
 from hornbeamgw.daemon.control import Control
 from hornbeamgw.daemon.presence import (
     BACKOFF_MAX_S,
@@ -101,7 +101,7 @@
         while True:
             await asyncio.sleep(SWEEP_EVERY_S * self._rng.uniform(0.8, 1.2))
             members = membership.reachable(self._control.view)
-            sweepers = top("sweeper", members, SWEEPERS)
+            sweepers = select_members("sweeper", members, SWEEPERS)
             if any(m.address == self._control.view.me.address for m in sweepers):
                 await self._sweep()
 
--- a/hornbeamgw/daemon/reader.py
+++ b/hornbeamgw/daemon/reader.py
@@ -13,12 +13,12 @@
 from hornbeamgw.core.floor import FloorAnswer
 from hornbeamgw.core.membership import Member, Status
 from hornbeamgw.core.rendezvous import (
-    READERS_IN_ALL,
-    READERS_PER_DATA_CENTRE,
+    MIN_READERS_PER_DATA_CENTRE,
+    MIN_TOTAL_READERS,
     all_readers,
     is_pusher,
     is_reader,
-    top,
+    select_members,
 )
 from hornbeamgw.core.rollout import LEADERS
 from hornbeamgw.daemon import frames
@@ -166,7 +166,7 @@
                 await asyncio.sleep(self._rng.uniform(ceiling / 2, ceiling))
 
     def _in_all(self) -> int:
-        return READERS_IN_ALL if self._source.is_whole else 0
+        return MIN_TOTAL_READERS if self._source.is_whole else 0
 
     def _living(self) -> list[Member]:
         """Return the members that nobody doubts: the next in line reads for one that is silent."""
@@ -181,14 +181,16 @@
 
     def _is_close(self) -> bool:
         """Return whether this daemon is one of the readers that watch the store closely."""
-        readers = top("watch", all_readers(self._living(), self._in_all()), CLOSE_WATCHERS)
+        readers = select_members(
+            "watch", all_readers(self._living(), self._in_all()), CLOSE_WATCHERS
+        )
         is_ranked = any(reader.address == self._control.view.me.address for reader in readers)
         return is_ranked or self.watches_closely()
 
     def leaders(self, service: str) -> list[Member]:
         """Return the readers that lead a rollout of a service, the first one first."""
         readers = all_readers(self._living(), self._in_all())
-        return top(f"rollout {service}", readers, LEADERS)
+        return select_members(f"rollout {service}", readers, LEADERS)
 
     def rank(self, service: str) -> int | None:
         """Return the rank of this daemon among those that lead a rollout, None for none."""
@@ -295,7 +297,7 @@
             if not await self._floor_from_platform():
                 await self._floor_from_any(self._peers())
             return
-        readers = top("reader", [*local, me], READERS_PER_DATA_CENTRE)
+        readers = select_members("reader", [*local, me], MIN_READERS_PER_DATA_CENTRE)
         others = [m for m in readers if m.address != me.address]
         if me in readers or not others or attempt % OWN_READ_EVERY == 0:
             if await self._floor_from_platform():
--- a/hornbeamgw/daemon/servers.py
+++ b/hornbeamgw/daemon/servers.py
@@ -85,7 +85,7 @@
         candidates = self._candidates_by_arm.get((service, arm))
         if candidates is None:
             found = self._of_arm(view, service, now, arm)
-            known = subsetting.known_servers(view.me, found)
+            known = subsetting.server_subset(view.me, found)
             candidates = [candidate_of(member, self._load(member, now)) for member in known]
             if arm is not Arm.TURN:
                 self._candidates_by_arm[service, arm] = candidates
@@ -155,15 +155,15 @@
         return chosen
 
     async def _choose_by(self, choice: Choice, call: Call) -> Candidate | None:
-        if not sampling.worth_asking(choice):
+        if not sampling.should_ask(choice):
             return await self._choose_by_reports(call, choice)
         own = self._ask_own(call, choice)
         if own is not None:
             return own
         found = self._best_taker(call, choice)
-        while call.rounds_left and not (found and sampling.is_good(found.load.wait, call.aim)):
-            is_first = call.rounds_left == sampling.ROUNDS
-            is_near = is_first or not crossing.is_worth_leaving(choice, found)
+        while call.rounds_left and not (found and sampling.is_short(found.load.wait, call.aim)):
+            is_first = call.rounds_left == sampling.MAX_ROUNDS
+            is_near = is_first or not crossing.is_remote_better(choice, found)
             call.rounds_left -= 1
             asked = sampling.sample(choice, is_near, self._rng)
             told = await self._ask(call, [c for c in asked if c not in call.takers])
@@ -182,7 +182,7 @@
             chosen = self._choose(choice, self._rng)
             if chosen is None:
                 return None
-            if not crossing.is_worth_asking(choice.me, chosen, len(call.body)):
+            if not crossing.should_ask_first(choice.me, chosen, len(call.body)):
                 return chosen
             told = await self._ask(call, [chosen])
             if not told.refusers:
--- a/hornbeamgw/testing/mesh_model.py
+++ b/hornbeamgw/testing/mesh_model.py
@@ -176,7 +176,7 @@
             return
         target = self._members.index(chosen.member)
         task.tried.append(chosen.member.address)
-        chosen.load.sent_since += 1
+        chosen.load.sent_since_report += 1
         chosen.load.outstanding += 1
         is_far = chosen.member.data_centre != self._members[place].data_centre
         if is_far:
--- a/hornbeamgw/testing/simulated.py
+++ b/hornbeamgw/testing/simulated.py
@@ -129,7 +129,7 @@
         ]
         self._index_by_address = {m.address: i for i, m in enumerate(self._members)}
         self._asks = chooser in (ASKING, ASKING_SOME)
-        self._far = subsetting.FAR_KEPT if chooser == ASKING_SOME else len(speeds)
+        self._far = subsetting.N_REMOTE if chooser == ASKING_SOME else len(speeds)
         self._known_by_daemon: dict[int, list[Member]] = {}
         self._choose = balancing.chooser_of("expected_finish" if self._asks else chooser)
         self._loads = [[Load(0.0) for _ in speeds] for _ in range(daemons)]
@@ -172,7 +172,7 @@
     def _known(self, daemon: int) -> list[Member]:
         known = self._known_by_daemon.get(daemon)
         if known is None:
-            known = subsetting.known_servers(self._daemons[daemon], self._members, self._far)
+            known = subsetting.server_subset(self._daemons[daemon], self._members, self._far)
             self._known_by_daemon[daemon] = known
         return known
 
@@ -190,7 +190,7 @@
                 if admission.outlook(state, request, SERVICE, arrival.at).takes:
                     takers.append(candidate)
             found = sampling.best(choice, takers)
-            if found is not None and sampling.is_good(found.load.wait, choice.aim):
+            if found is not None and sampling.is_short(found.load.wait, choice.latency_objective):
                 return found
         return found
 
@@ -199,7 +199,7 @@
         self._work_by_attempt[attempt] = (daemon, kind, arrival.work)
         request = _request(attempt, arrival)
         load = self._loads[daemon][server]
-        load.sent_since += 1
+        load.sent_since_report += 1
         self._begin(server, admission.next_decisions(self._states[server], now), now)
         decision = admission.admit(self._states[server], request, SERVICE, now)
         if isinstance(decision, Refused):
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -216,7 +216,7 @@
     Mutant(
         "what a call moves weighs against leaving its data centre",
         "hornbeamgw/core/crossing.py",
-        (("return size / (size + HALF_WORTH_BYTES)", "return 0.0"),),
+        (("return size / (size + HALF_VALUE_BYTES)", "return 0.0"),),
         CROSSING,
     ),
     Mutant(
@@ -389,7 +389,7 @@
     Mutant(
         "gates of one's own data centre are asked first",
         "hornbeamgw/core/sampling.py",
-        (("(c.member.data_centre == choice.me.data_centre) is is_near", "True"),),
+        (("(c.member.data_centre == choice.me.data_centre) is is_local", "True"),),
         SAMPLING,
     ),
     Mutant(
