--- a/features/steps/breaker.py
+++ b/features/steps/breaker.py
@@ -24,7 +24,7 @@
 def seen(context, count):
     context.breaker, context.now = BreakerState(), NOW
     for _ in range(count):
-        breaker.note_broken(context.breaker, context.now)
+        breaker.note_early_loss(context.breaker, context.now)
 
 
 def pause_of(context):
@@ -55,7 +55,7 @@
     for _ in range(count):
         context.now += pause_of(context) + 0.001
         assert not pause_of(context)
-        breaker.note_broken(context.breaker, context.now)
+        breaker.note_early_loss(context.breaker, context.now)
 
 
 @when("the try after the pause is answered")
@@ -71,7 +71,7 @@
 
 @when("1 more early loss comes")
 def one_more(context):
-    breaker.note_broken(context.breaker, context.now)
+    breaker.note_early_loss(context.breaker, context.now)
 
 
 @then("all is sent at once")
@@ -83,14 +83,14 @@
 def again(context, ms):
     all_sent(context)
     for _ in range(2):
-        breaker.note_broken(context.breaker, context.now)
+        breaker.note_early_loss(context.breaker, context.now)
     nothing(context, ms)
 
 
 @then("a loss after {early:d} ms of {expected:d} is early, and one after {late:d} ms is not")
 def early_or_not(context, early, expected, late):
-    assert breaker.is_early(early / 1000, expected / 1000)
-    assert not breaker.is_early(late / 1000, expected / 1000)
+    assert breaker.is_early_loss(early / 1000, expected / 1000)
+    assert not breaker.is_early_loss(late / 1000, expected / 1000)
 
 
 # A gate
--- a/features/steps/budget.py
+++ b/features/steps/budget.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 
-from hornbeamgw.core import retry_budget, returns, split
+from hornbeamgw.core import caller_retries, retry_budget, split
 from hornbeamgw.core.retry_budget import Bound, BudgetState
 from hornbeamgw.core.snapshot import Entry, Limits, Part, Route
 
@@ -82,7 +82,7 @@
     (state,) = context.states
     for _ in range(count):
         retry_budget.note_request(state, "roster", 1.0)
-        retry_budget.note_inner_repeat(state, "roster", 0.5, 1.0)
+        retry_budget.note_nested_repeat(state, "roster", 0.5, 1.0)
 
 
 @then("no repeat is allowed")
@@ -119,21 +119,21 @@
 
 @given('callers of "{name}" have {left:d} ms at first')
 def first_tries(context, name, left):
-    context.returns, context.name, context.left = returns.ReturnState(), name, left
-    assert returns.elapsed_before(context.returns, name, left, 0.0) == 0
+    context.caller_retries, context.name, context.left = caller_retries.ReturnState(), name, left
+    assert caller_retries.elapsed_before(context.caller_retries, name, left, 0.0) == 0
 
 
 @when("one comes with {left:d} ms")
 def comes(context, left):
-    context.elapsed = returns.elapsed_before(context.returns, context.name, left, 0.1)
+    context.elapsed = caller_retries.elapsed_before(context.caller_retries, context.name, left, 0.1)
 
 
 @given('first tries of "{name}" whose times differ between {low:d} and {high:d} ms')
 def differing_first_tries(context, name, low, high):
-    context.returns, context.name = returns.ReturnState(), name
+    context.caller_retries, context.name = caller_retries.ReturnState(), name
     rng = random.Random(1)
     for _ in range(MANY_TRIES):
-        returns.elapsed_before(context.returns, name, rng.randint(low, high), 0.0)
+        caller_retries.elapsed_before(context.caller_retries, name, rng.randint(low, high), 0.0)
 
 
 @then("it is taken for a first try")
--- a/features/steps/queueing.py
+++ b/features/steps/queueing.py
@@ -16,7 +16,7 @@
 
 
 def learn(state, kind, work_ms):
-    service_times.note(state.times, kind, work_ms / 1000)
+    service_times.record(state.times, kind, work_ms / 1000)
 
 
 def arrive(context, kind, work_ms, objective_ms, now=None, **fields):
--- a/features/steps/reborn.py
+++ b/features/steps/reborn.py
@@ -113,7 +113,7 @@
         context.link = SilentLink()
         context.gate.on_frame(context.link, call_frame())
         await asyncio.sleep(0.05)
-        service_times.note(context.gate.state.times, "r-0", 4.0)
+        service_times.record(context.gate.state.times, "r-0", 4.0)
         context.gate.announce(announcement(context.address, 1000, ServerState.DRAINING))
         assert not context.link.sent, context.link.sent
 
--- a/features/steps/sampling.py
+++ b/features/steps/sampling.py
@@ -110,7 +110,7 @@
 def taken(context, slots, ms):
     context.state = simulated.new_server("objective", slots)
     for number in range(slots):
-        service_times.note(context.state.times, "lookup", ms / 1000)
+        service_times.record(context.state.times, "lookup", ms / 1000)
         admission.admit(context.state, request(number, 1.0), simulated.SERVICE, NOW)
 
 
@@ -139,7 +139,7 @@
 
 @given("{count:d} reports of {ms:d} ms that wait there")
 def reports_wait(context, count, ms):
-    service_times.note(context.state.times, "report", ms / 1000)
+    service_times.record(context.state.times, "report", ms / 1000)
     for number in range(count):
         report = request(100 + number, 2.0)._replace(route="report", deadline=NOW + 5.0)
         assert isinstance(admission.admit(context.state, report, simulated.SERVICE, NOW), Queued)
@@ -147,7 +147,7 @@
 
 @then("a check of {ms:d} ms is told a wait of about {wait:d} ms")
 def check_wait(context, ms, wait):
-    service_times.note(context.state.times, "check", ms / 1000)
+    service_times.record(context.state.times, "check", ms / 1000)
     check = request(200, 1.0)._replace(route="check")
     told = admission.outlook(context.state, check, simulated.SERVICE, NOW)
     assert told.takes and abs(told.wait - wait / 1000) < 0.02, told
--- a/hornbeamgw/core/admission.py
+++ b/hornbeamgw/core/admission.py
@@ -215,7 +215,7 @@
     _remember(state, attempt, Fate.FINISHED, now)
     if is_of_this_run and has_worked:
         state.service_time += SERVICE_TIME_WEIGHT * (now - started - state.service_time)
-        service_times.note(state.times, request.route, now - started)
+        service_times.record(state.times, request.route, now - started)
     return next_decisions(state, now)
 
 
--- a/hornbeamgw/core/backlog.py
+++ b/hornbeamgw/core/backlog.py
@@ -1,4 +1,4 @@
-"""Backlog: when requests that wait for a slot will start, by list scheduling."""
+"""Backlog: estimate when queued requests will start, by list scheduling."""
 
 from __future__ import annotations
 
@@ -6,15 +6,23 @@
 from collections.abc import Iterable, Sequence
 
 
-def starts(free_at: Iterable[float], lengths: Sequence[float]) -> list[float]:
-    """Return when each of the waiting starts, in their order, given when each slot is free (s)."""
-    slots = list(free_at)
+def start_times(slots_free_at: Iterable[float], durations: Sequence[float]) -> list[float]:
+    """Return the start time of each queued request.
+
+    Parameters
+    ----------
+    slots_free_at : iterable of float
+        Time in seconds at which each slot becomes free.
+    durations : sequence of float
+        Service time in seconds of each request, in queue order.
+    """
+    slots = list(slots_free_at)
     if not slots:
-        return [float("inf")] * len(lengths)
+        return [float("inf")] * len(durations)
     heapq.heapify(slots)
-    found = []
-    for length in lengths:
+    starts = []
+    for duration in durations:
         start = slots[0]
-        found.append(start)
-        heapq.heapreplace(slots, start + length)
-    return found
+        starts.append(start)
+        heapq.heapreplace(slots, start + duration)
+    return starts
--- a/hornbeamgw/core/breaker.py
+++ b/hornbeamgw/core/breaker.py
@@ -1,68 +1,82 @@
-"""Breaker: stop sending to a backend server that breaks off all that it is sent.
+"""Circuit breaker: stop sending requests to a backend server that drops its connections.
 
-The pattern: servers that go down and up by turns, some seconds each, in services of 30 to 45. Each
-daemon would learn of it by failed calls of its own, and calls that may have run can't be repeated;
-the daemon beside the server sees all of them, and can refuse what comes next as surely not run.
+Calls that may have run can't be retried, so callers would each have to learn of a failing server
+through failed calls of their own. The daemon next to the server sees all of its failures and can
+refuse later requests with certainty that they did not run.
 
-What counts is a connection that is refused, or lost well before the request's work could be done:
-an answer that is lost after the work says nothing of the next.
+Only early losses count: connections that are refused or lost before the request could have been
+processed. A response that is lost after the work was done says nothing about the next request.
 """
 
 from __future__ import annotations
 
-# With one, a connection that the server had just closed for itself would stop all work.
-OPEN_AFTER = 2
-# A loss within this part of the expected time of service is one before any work was done.
-EARLY_PART = 0.2
-# How long (s) nothing is sent, doubled each time up to the most; servers come back after seconds.
-OPEN_S = 0.1
-OPEN_MOST_S = 0.8
+# Consecutive early losses that open the breaker. One is not enough, since the server may just have
+# closed an idle connection.
+OPEN_AFTER_LOSSES = 2
+# A loss is early within this ratio of the expected service time.
+EARLY_LOSS_RATIO = 0.2
+# Time for which the breaker stays open; it doubles with each opening up to the maximum.
+OPEN_BASE_S = 0.1
+OPEN_MAX_S = 0.8
 
 
 class BreakerState:
-    """Hold what the last attempts at the backend server came to."""
+    """State of the circuit breaker of one backend server.
+
+    Attributes
+    ----------
+    consecutive_losses : int
+        Early losses since the server last responded.
+    open_until : float
+        Time in seconds until which all requests are refused.
+    probe_until : float
+        Time in seconds until which a probe request is in progress.
+    open_count : int
+        Openings since the server last responded.
+    """
 
     def __init__(self) -> None:
-        """Start closed."""
-        self.broken_in_a_row = 0
+        """Create a closed breaker."""
+        self.consecutive_losses = 0
         self.open_until = 0.0
-        self.trial_until = 0.0
-        self.openings = 0
+        self.probe_until = 0.0
+        self.open_count = 0
 
 
-def is_early(held: float, expected: float) -> bool:
-    """Return whether a loss after this time (s) came before the expected work was done."""
-    return held < EARLY_PART * expected
+def is_early_loss(held: float, expected: float) -> bool:
+    """Return whether a loss is early, given the elapsed and expected service times in seconds."""
+    return held < EARLY_LOSS_RATIO * expected
 
 
-def note_broken(state: BreakerState, now: float) -> bool:
-    """Take an early loss, and return whether the breaker opens by it."""
-    state.broken_in_a_row += 1
-    if state.broken_in_a_row < OPEN_AFTER or now < state.open_until:
+def note_early_loss(state: BreakerState, now: float) -> bool:
+    """Count an early loss and return whether it opens the breaker."""
+    state.consecutive_losses += 1
+    if state.consecutive_losses < OPEN_AFTER_LOSSES or now < state.open_until:
         return False
-    state.open_until = now + min(OPEN_MOST_S, OPEN_S * 2**state.openings)
-    state.openings += 1
-    state.trial_until = 0.0
+    state.open_until = now + min(OPEN_MAX_S, OPEN_BASE_S * 2**state.open_count)
+    state.open_count += 1
+    state.probe_until = 0.0
     return True
 
 
 def note_sound(state: BreakerState) -> None:
-    """Take anything that a server sent which lives."""
-    state.broken_in_a_row = 0
-    state.openings = 0
-    state.trial_until = 0.0
+    """Close the breaker after any response from the server."""
+    state.consecutive_losses = 0
+    state.open_count = 0
+    state.probe_until = 0.0
 
 
 def refusal(state: BreakerState, idempotent: bool, now: float) -> float:
-    """Return for how long (s) to refuse a request, or 0 where it may be sent.
+    """Return the time in seconds for which a request is refused, or 0 if it may be sent.
 
-    After the time has passed one idempotent request at a time tries whether the server is back.
+    When the breaker has been open for its full time, one idempotent request at a time is sent to
+    probe whether the server has recovered.
     """
-    if state.broken_in_a_row < OPEN_AFTER:
+    if state.consecutive_losses < OPEN_AFTER_LOSSES:
         return 0.0
     if now < state.open_until:
         return state.open_until - now
-    if not idempotent or now < state.trial_until:
-        return OPEN_S
-    state.trial_until = now + OPEN_S
+    if not idempotent or now < state.probe_until:
+        return OPEN_BASE_S
+    state.probe_until = now + OPEN_BASE_S
     return 0.0
--- /dev/null
+++ b/hornbeamgw/core/caller_retries.py
@@ -0,0 +1,62 @@
+"""Caller retries: detect retries by callers from the deadline that they send.
+
+A caller only sends the time left until its deadline. If nearly all first tries of a route start
+with the same time limit, a request with less time is a retry, and the difference is the time that
+the caller has already spent. If the limits of first tries vary, only a request with much less time
+than any first try is taken for a retry.
+"""
+
+from __future__ import annotations
+
+# Differences up to this one count as equal; shorter than a retry by any caller can take.
+TOLERANCE_MS = 4
+# The longest time limit of a route is discarded after this long, in case callers lower it.
+FORGET_AFTER_S = 10.0
+# Limits of first tries are taken as equal if at least this ratio of all requests has the longest
+# one. The ratio is low because under overload most requests are retries.
+UNIFORM_LIMIT_RATIO = 0.15
+# Weight of the newest request in the moving average, after the first few requests.
+SMOOTHING_FACTOR = 0.02
+# If limits vary, the shortest limit of a first try relative to the longest.
+FIRST_TRY_MIN_RATIO = 0.8
+
+
+class _Route:
+    def __init__(self) -> None:
+        self.longest_ms = 0
+        self.seen_at = 0.0
+        self.with_longest = 1.0
+        self.tries = 0
+
+
+class ReturnState:
+    """The longest time limit and the ratio of requests that have it, by route."""
+
+    def __init__(self) -> None:
+        """Start with nothing seen."""
+        self.routes_by_name: dict[str, _Route] = {}
+
+
+def elapsed_before(state: ReturnState, route: str, left_ms: int, now: float) -> float:
+    """Return the time in seconds that a caller has spent on earlier tries; 0 for a first try.
+
+    `left_ms` is the time until the caller's deadline, and `now` the current time in seconds.
+    """
+    known = state.routes_by_name.setdefault(route, _Route())
+    if now - known.seen_at > FORGET_AFTER_S:
+        known.longest_ms = left_ms
+    has_longest = left_ms >= known.longest_ms - TOLERANCE_MS
+    known.tries += 1
+    weight = max(SMOOTHING_FACTOR, 1 / (known.tries + 1))
+    known.with_longest += weight * (has_longest - known.with_longest)
+    if has_longest:
+        known.longest_ms = max(known.longest_ms, left_ms)
+        known.seen_at = now
+        return 0.0
+    if known.with_longest >= UNIFORM_LIMIT_RATIO:
+        return (known.longest_ms - left_ms) / 1000
+    shortest_first_ms = FIRST_TRY_MIN_RATIO * known.longest_ms
+    if left_ms >= shortest_first_ms:
+        return 0.0
+    typical_ms = (known.longest_ms + shortest_first_ms) / 2
+    return (typical_ms - left_ms) / 1000
--- a/hornbeamgw/core/pacing.py
+++ b/hornbeamgw/core/pacing.py
@@ -1,61 +1,58 @@
-"""Pacing: large bodies leave a VM only as fast as its link, so that nothing waits behind them.
+"""Pacing: send large bodies no faster than the VM's link, so that small messages are not delayed.
 
-The pattern is that of the users' grown deployments: links of 3 to 6.5 Mbit/s carry rosters of
-90 KB and drawing packs of 280 KB, which take 240 to 345 ms there, and share the link with
-lookups whose whole objective is 262 ms. What is written to a socket leaves in the order of the
-writes, so parts of large bodies are held back while the link has a backlog of such parts;
-everything else is written at once.
+A large body can occupy a narrow link for longer than the latency objective of a small request that
+shares it. Data written to a socket is sent in order, so large bodies are written in parts, and a
+part is delayed while the link has a backlog of earlier parts. Small messages are written at once.
 """
 
 from __future__ import annotations
 
-# What a small message may have to wait for: the time (s) that one part takes on the link.
-PART_S = 0.01
-PART_LEAST_BYTES = 4 * 1024
-# Bodies are not cut up below this on links that are wide or of unknown width.
-PART_MOST_BYTES = 256 * 1024
-# A part may leave while those before it need no longer than this (s), lest the link idle while
+# Transmission time of one part, which is the longest that a small message waits for a part.
+PART_DURATION_S = 0.01
+PART_MIN_BYTES = 4 * 1024
+# Size of a part on links that are fast or of unknown bandwidth.
+PART_MAX_BYTES = 256 * 1024
+# A part is written while the backlog is below this, so that the link does not become idle before
 # the writer wakes up.
-BACKLOG_S = 0.01
-# The rest of the link is for small messages and the headers of packets: lookups, their calls and
-# gossip come to some 40 KB/s of the 375 KB/s that a link of 3 Mbit/s carries.
-USABLE_PART = 0.85
-# Parts of one body that may be under way before the receiver grants more.
+MAX_BACKLOG_S = 0.01
+# Ratio of the bandwidth used for bodies. The rest is left for small messages and packet headers.
+USABLE_BANDWIDTH_RATIO = 0.85
+# Parts of one body that may be in flight before the receiver grants more credit.
 WINDOW_PARTS = 8
 
 
 class LinkState:
-    """Hold when a VM's link will have sent the parts that were written to it."""
+    """The send rate of a VM's link (bytes/s), and when it will have sent all written parts."""
 
     def __init__(self, bandwidth: float) -> None:
-        """Take the bandwidth (bytes/s); 0 where it is not known, and then nothing waits."""
-        self.rate = rate_of(bandwidth)
+        """Create the state of a link of a bandwidth in bytes/s; 0 (unknown) disables pacing."""
+        self.rate = usable_rate(bandwidth)
         self.free_at = 0.0
 
 
-def rate_of(bandwidth: float) -> float:
-    """Return how fast (bytes/s) parts of bodies leave by a link."""
-    return USABLE_PART * bandwidth
+def usable_rate(bandwidth: float) -> float:
+    """Return the rate in bytes/s at which bodies are sent on a link."""
+    return USABLE_BANDWIDTH_RATIO * bandwidth
 
 
 def part_bytes(state: LinkState) -> int:
-    """Return how many bytes of a body to write at a time."""
+    """Return the size in bytes of one part of a body."""
     if state.rate <= 0:
-        return PART_MOST_BYTES
-    return min(PART_MOST_BYTES, max(PART_LEAST_BYTES, round(state.rate * PART_S)))
+        return PART_MAX_BYTES
+    return min(PART_MAX_BYTES, max(PART_MIN_BYTES, round(state.rate * PART_DURATION_S)))
 
 
 def window_bytes(state: LinkState) -> int:
-    """Return how many bytes of one body may be under way; on a wide link as many as a part."""
-    return min(PART_MOST_BYTES, WINDOW_PARTS * part_bytes(state))
+    """Return how many bytes of one body may be in flight."""
+    return min(PART_MAX_BYTES, WINDOW_PARTS * part_bytes(state))
 
 
 def note_part(state: LinkState, size: int, now: float) -> None:
-    """Count a part (bytes) that was written to the link."""
+    """Add a written part of `size` bytes to the backlog of the link."""
     if state.rate > 0:
         state.free_at = max(state.free_at, now) + size / state.rate
 
 
 def wait_for_part(state: LinkState, now: float) -> float:
-    """Return how long (s) the next part waits."""
-    return max(0.0, state.free_at - now - BACKLOG_S)
+    """Return the time in seconds until the next part may be written."""
+    return max(0.0, state.free_at - now - MAX_BACKLOG_S)
--- a/hornbeamgw/core/placement.py
+++ b/hornbeamgw/core/placement.py
@@ -17,7 +17,7 @@
 
 from hornbeamgw.core.balancing import Candidate, Choice, Load, register_chooser
 from hornbeamgw.core.membership import Member, Status
-from hornbeamgw.core.service_times import GUESS_OF_OBJECTIVE
+from hornbeamgw.core.service_times import INITIAL_TIME_RATIO
 
 # Network round trip between data centres.
 CROSS_DATA_CENTRE_RTT_S = 0.003
@@ -52,7 +52,7 @@
 
     def __init__(self, latency_objective: float) -> None:
         """Derive initial estimates from the route's latency objective in seconds."""
-        self.service = GUESS_OF_OBJECTIVE * latency_objective
+        self.service = INITIAL_TIME_RATIO * latency_objective
         self.deviation = self.service / 2
         self.size = 0.0
 
--- a/hornbeamgw/core/queueing.py
+++ b/hornbeamgw/core/queueing.py
@@ -87,7 +87,7 @@
 
 def length(state: AdmissionState, request: Request, now: float) -> float:
     """Return how long (s) a request is expected to hold its slot if it starts now."""
-    mean = service_times.expected(state.times, request.route, request.aim)
+    mean = service_times.expected_time(state.times, request.route, request.aim)
     known = request.route in state.times.estimates_by_route
     return mean * (COLD_FACTOR if now < state.warm_at and not known else 1.0)
 
@@ -122,7 +122,7 @@
 
 def _ends(state: AdmissionState, ordered: Sequence[Request], now: float) -> list[float]:
     lengths = [length(state, request, now) for request in ordered]
-    begins = backlog.starts(free_times(state, now), lengths)
+    begins = backlog.start_times(free_times(state, now), lengths)
     return [begin + held for begin, held in zip(begins, lengths, strict=True)]
 
 
@@ -271,4 +271,4 @@
     if len(state.running_by_attempt) + len(state.queue) < state.slots:
         return 0.0
     lengths = [length(state, request, now) for request in state.queue]
-    return max(0.0, backlog.starts(free_times(state, now), [*lengths, 0.0])[-1] - now)
+    return max(0.0, backlog.start_times(free_times(state, now), [*lengths, 0.0])[-1] - now)
--- a/hornbeamgw/core/retry_budget.py
+++ b/hornbeamgw/core/retry_budget.py
@@ -1,14 +1,13 @@
-"""Retry budget: how often a request may reach a backend server once more, fleet-wide.
+"""Retry budget: limit retries across the whole fleet.
 
-The bound of a fleet is a share of a service's requests in a window plus a fixed slack. It is kept
-without a coordinator: each daemon spends only what its own requests earn, and its part of the
-slack by the number of members. A repeated run makes its own calls again, and those count as
-repeats at the services that it calls: the daemon beside it charges the requests that arrive there
-with the share of repeats among what runs at its own backend server.
+The limit for a service is a ratio of its requests in a time window plus a fixed slack. It is
+enforced without coordination: each daemon spends only what its own requests earn, and an equal
+share of the slack. A retried request repeats its nested calls as well, so the daemon next to a
+server charges nested requests with the ratio of retries among the requests running on that server.
 
-The pattern: every server of a service turns half of what it gets away at once, and what it gets are
-calls that others wait for and requests of callers who come back by themselves. The former are more
-urgent, and whoever waits fails with them. So while they come, they find half of the budget unspent.
+If a service refuses many requests at once, retries of less urgent requests could use up the budget
+that more urgent ones need. While more urgent requests are being received, less urgent ones may only
+use part of the budget.
 """
 
 from __future__ import annotations
@@ -16,14 +15,25 @@
 from collections import deque
 from typing import NamedTuple
 
-# What is left unspent covers requests still under way and windows that do not line up.
-OWN_PART = 0.9
-# Of what a daemon may spend, less urgent requests leave the rest to more urgent ones.
-LESS_URGENT_PART = 0.5
+# Ratio of the budget that is spent. The rest is a margin for requests in flight and for windows
+# that are not aligned across daemons.
+SPENDABLE_RATIO = 0.9
+# Ratio of the spendable budget that is available to less urgent requests.
+LESS_URGENT_RATIO = 0.5
 
 
 class Bound(NamedTuple):
-    """Hold the bound of the whole fleet: share of the requests, requests, and window (s)."""
+    """The retry limit of the whole fleet.
+
+    Attributes
+    ----------
+    ratio : float
+        Retries per request.
+    slack : float
+        Additional retries in a window, regardless of the number of requests.
+    window : float
+        Length of the window in seconds.
+    """
 
     ratio: float
     slack: float
@@ -34,16 +44,16 @@
     def __init__(self) -> None:
         self.requests: deque[float] = deque()
         self.repeats: deque[float] = deque()
-        self.inner: deque[tuple[float, float]] = deque()
-        self.inner_sum = 0.0
+        self.nested_repeats: deque[tuple[float, float]] = deque()
+        self.nested_repeat_sum = 0.0
         self.seen_at_by_priority: dict[int, float] = {}
 
 
 class BudgetState:
-    """Hold the times of requests and repeats, by service, and the largest fleet seen."""
+    """Times of requests and retries by service, and the largest observed size of the fleet."""
 
     def __init__(self, bound: Bound) -> None:
-        """Take the bound of the fleet."""
+        """Start without requests."""
         self.bound = bound
         self.members = 1
         self.windows_by_service: dict[str, _Window] = {}
@@ -55,30 +65,30 @@
     for times in (window.requests, window.repeats):
         while times and times[0] <= oldest:
             times.popleft()
-    while window.inner and window.inner[0][0] <= oldest:
-        window.inner_sum -= window.inner.popleft()[1]
+    while window.nested_repeats and window.nested_repeats[0][0] <= oldest:
+        window.nested_repeat_sum -= window.nested_repeats.popleft()[1]
     return window
 
 
 def note_members(state: BudgetState, members: int) -> None:
-    """Note the size of the fleet; the largest ever seen divides the slack."""
+    """Record the size of the fleet; the slack is divided by the largest size recorded."""
     state.members = max(state.members, members)
 
 
 def note_request(state: BudgetState, service: str, now: float, priority: int = 0) -> None:
-    """Count a request of a caller for a service; 0 is the most urgent priority."""
+    """Count a request to a service; priority 0 is the most urgent."""
     window = _window(state, service, now)
     window.requests.append(now)
     window.seen_at_by_priority[priority] = now
 
 
-def note_inner_repeat(state: BudgetState, service: str, share: float, now: float) -> None:
-    """Charge a request with the likelihood that it is a call of a repeated run."""
-    if share <= 0:
+def note_nested_repeat(state: BudgetState, service: str, probability: float, now: float) -> None:
+    """Charge a nested request with the probability that it comes from a retried request."""
+    if probability <= 0:
         return
     window = _window(state, service, now)
-    window.inner.append((now, share))
-    window.inner_sum += share
+    window.nested_repeats.append((now, probability))
+    window.nested_repeat_sum += probability
 
 
 def _has_more_urgent(window: _Window, priority: int, oldest: float) -> bool:
@@ -86,17 +96,17 @@
 
 
 def has_room(state: BudgetState, service: str, now: float, priority: int = 0) -> bool:
-    """Return whether a request may reach a backend server once more."""
+    """Return whether the budget allows a retry."""
     window = _window(state, service, now)
     earned = state.bound.ratio * len(window.requests)
-    allowed = OWN_PART * (earned + state.bound.slack / state.members)
+    allowed = SPENDABLE_RATIO * (earned + state.bound.slack / state.members)
     if _has_more_urgent(window, priority, now - state.bound.window):
-        allowed *= LESS_URGENT_PART
-    return len(window.repeats) + window.inner_sum + 1 <= allowed
+        allowed *= LESS_URGENT_RATIO
+    return len(window.repeats) + window.nested_repeat_sum + 1 <= allowed
 
 
 def take_repeat(state: BudgetState, service: str, now: float, priority: int = 0) -> bool:
-    """Return whether a request may reach a backend server once more, and count it if so."""
+    """Return whether the budget allows a retry, and count the retry if so."""
     if not has_room(state, service, now, priority):
         return False
     _window(state, service, now).repeats.append(now)
--- a/hornbeamgw/core/retrying.py
+++ b/hornbeamgw/core/retrying.py
@@ -1,4 +1,4 @@
-"""Retries: whether a failed attempt may be made again, and when."""
+"""Retries: decide whether and when a failed attempt is retried."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from hornbeamgw.core.verdict import Failure, Reason, Verdict
 
-DEFAULT_BUDGET = 2
+DEFAULT_RETRY_BUDGET = 2
 BACKOFF_S = 0.005
 BACKOFF_MAX_S = 0.1
 FINAL_REASONS = frozenset(
@@ -16,21 +16,37 @@
 
 
 class Retry(NamedTuple):
-    """Make another attempt after a delay (s)."""
+    """A retry after a delay in seconds."""
 
     delay: float
 
 
-def after(
+def plan_retry(
     failure: Failure,
     idempotent: bool,
     attempts: int,
-    budget: int,
+    retries_left: int,
     remaining: float,
     rng: random.Random,
 ) -> Retry | None:
-    """Return a retry, or None where the call must end with this failure."""
-    if failure.reason in FINAL_REASONS or budget <= 0:
+    """Return the next retry, or None if the call ends with this failure.
+
+    Parameters
+    ----------
+    failure : Failure
+        The failure of the last attempt.
+    idempotent : bool
+        Whether the request may run more than once.
+    attempts : int
+        Attempts made so far, which determine the exponential backoff.
+    retries_left : int
+        Retries that the call may still make.
+    remaining : float
+        Time in seconds until the deadline of the call.
+    rng : random.Random
+        Source of the backoff jitter.
+    """
+    if failure.reason in FINAL_REASONS or retries_left <= 0:
         return None
     if failure.verdict is not Verdict.NOT_RUN and not idempotent:
         return None
@@ -40,7 +56,10 @@
 
 
 def combine(earlier: Verdict, failure: Failure) -> Failure:
-    """Return a failure no stronger than what an earlier attempt left open."""
+    """Return a failure that includes the verdict of earlier attempts.
+
+    If an earlier attempt may have run, so may the call as a whole.
+    """
     if earlier is Verdict.MAY_HAVE_RUN:
         return failure._replace(verdict=Verdict.MAY_HAVE_RUN)
     return failure
--- a/hornbeamgw/core/service_times.py
+++ b/hornbeamgw/core/service_times.py
@@ -1,54 +1,57 @@
-"""Service times: how long requests of each route hold a slot, as measured.
+"""Service times: estimate how long the requests of each route occupy a slot.
 
-A mean over all routes is wrong for each of them where work of 15 ms and of 240 ms shares a
-server, so each route has its own. Until one is measured, its latency objective gives a guess.
+Requests of different routes on the same server can differ by an order of magnitude, so each route
+has its own estimate. Before its first measurement it is derived from the latency objective.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# Weight of the newest time; at 20 requests a second the estimate follows a change in a second.
-WEIGHT = 0.08
-# The users' sheets set objectives at 2.5 to 4 times the work.
-GUESS_OF_OBJECTIVE = 0.3
-# A request that has outlasted its estimate is taken to need this part of its age once more,
-# since heavy tails (1% of requests last 3 to 5 times the mean) make old ones last longer.
-OVERDUE_PART = 0.5
+# Weight of the newest measurement in the moving averages.
+SMOOTHING_FACTOR = 0.08
+# Initial estimate relative to the latency objective.
+INITIAL_TIME_RATIO = 0.3
+# Expected remaining time of a request that has exceeded its estimate, relative to its age. Service
+# times are heavy-tailed, so requests that already took long are expected to take longer still.
+OVERDUE_RATIO = 0.5
 
 
 class Estimate(NamedTuple):
-    """Hold the mean time (s) and its mean deviation (s)."""
+    """Mean service time and its mean absolute deviation, in seconds."""
 
     mean: float
     deviation: float
 
 
 class ServiceTimes:
-    """Hold an estimate for each route."""
+    """The service time estimate of each route."""
 
     def __init__(self) -> None:
-        """Start with nothing measured."""
+        """Start without measurements."""
         self.estimates_by_route: dict[str, Estimate] = {}
 
 
-def expected(times: ServiceTimes, route: str, objective: float) -> float:
-    """Return how long (s) a request of a route with this objective (s) holds a slot."""
+def expected_time(times: ServiceTimes, route: str, latency_objective: float) -> float:
+    """Return the expected service time in seconds of a route with a latency objective (s)."""
     known = times.estimates_by_route.get(route)
-    return known.mean if known is not None else GUESS_OF_OBJECTIVE * objective
+    return known.mean if known is not None else INITIAL_TIME_RATIO * latency_objective
 
 
-def note(times: ServiceTimes, route: str, elapsed: float) -> None:
-    """Take the time (s) that a request held a slot."""
+def record(times: ServiceTimes, route: str, elapsed: float) -> None:
+    """Update the estimate of a route with a measured service time in seconds."""
     known = times.estimates_by_route.get(route)
     if known is None:
         times.estimates_by_route[route] = Estimate(elapsed, elapsed / 2)
         return
-    mean = known.mean + WEIGHT * (elapsed - known.mean)
-    deviation = known.deviation + WEIGHT * (abs(elapsed - mean) - known.deviation)
+    mean = known.mean + SMOOTHING_FACTOR * (elapsed - known.mean)
+    deviation = known.deviation + SMOOTHING_FACTOR * (abs(elapsed - mean) - known.deviation)
     times.estimates_by_route[route] = Estimate(mean, deviation)
 
 
 def remaining(mean: float, age: float) -> float:
-    """Return how much longer (s) a request of this age (s) is expected to hold its slot."""
-    return max(mean - age, OVERDUE_PART * age if age > mean else 0.0, 0.001)
+    """Return the expected remaining service time in seconds.
+
+    `mean` is the expected total and `age` the elapsed service time, in seconds.
+    """
+    return max(mean - age, OVERDUE_RATIO * age if age > mean else 0.0, 0.001)
--- a/hornbeamgw/core/split.py
+++ b/hornbeamgw/core/split.py
@@ -1,7 +1,7 @@
-"""Splits: share the requests of a route among services by weight, without coordination.
+"""Traffic splits: distribute the requests of a route among services by weight.
 
-Each daemon hands out turns by accumulated credit, which keeps its own shares within one request
-of the weights; a daemon starts at a random point, so that many of them do not start alike.
+Each daemon applies smooth weighted round robin, without coordination with others. Its distribution
+stays within one request of the weights, and random initial credits keep daemons out of step.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 
 from hornbeamgw.core.snapshot import Part, Route
 
-KEPT_ROUTES = 4096
+MAX_ROUTES = 4096
 
 
 class SplitState:
-    """Hold the credit of each service, by route."""
+    """Credit of each service, by route."""
 
     def __init__(self) -> None:
-        """Start without credit."""
+        """Start without routes."""
         self.credits_by_route: dict[str, dict[str, float]] = {}
 
 
 def choose(state: SplitState, route: Route, rng: random.Random) -> str:
-    """Return the service whose turn it is."""
+    """Return the service that receives the next request of a route."""
     if len(route.parts) == 1:
         return route.parts[0].service
     credits = state.credits_by_route.get(route.name)
     if credits is None or credits.keys() != {part.service for part in route.parts}:
-        credits = _start(route.parts, rng)
-        if len(state.credits_by_route) >= KEPT_ROUTES:
+        credits = _initial_credits(route.parts, rng)
+        if len(state.credits_by_route) >= MAX_ROUTES:
             state.credits_by_route.clear()
         state.credits_by_route[route.name] = credits
     for part in route.parts:
@@ -39,7 +39,7 @@
     return chosen
 
 
-def _start(parts: Sequence[Part], rng: random.Random) -> dict[str, float]:
+def _initial_credits(parts: Sequence[Part], rng: random.Random) -> dict[str, float]:
     drawn = {part.service: rng.random() * part.share for part in parts}
     mean = sum(drawn.values()) / len(drawn)
     return {service: value - mean for service, value in drawn.items()}
--- a/hornbeamgw/core/tally.py
+++ b/hornbeamgw/core/tally.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from hornbeamgw.core.queueing import COLD_FACTOR
-from hornbeamgw.core.service_times import GUESS_OF_OBJECTIVE
+from hornbeamgw.core.service_times import INITIAL_TIME_RATIO
 from hornbeamgw.core.verdict import Failure, Reason
 
 # An answer is slow that took so many times as long as is typical: service times spread by 0.8 of
@@ -59,7 +59,7 @@
 def slow_after(typical: float, aim: float, is_cold: bool) -> float:
     """Return after how long (s) a request is slow, by what is typical (s or 0) or its objective."""
     times = SLOW_TIMES * (COLD_FACTOR if is_cold else 1.0)
-    return times * (typical or GUESS_OF_OBJECTIVE * aim)
+    return times * (typical or INITIAL_TIME_RATIO * aim)
 
 
 def is_bad(ended: Ended) -> bool | None:
--- a/hornbeamgw/core/target.py
+++ b/hornbeamgw/core/target.py
@@ -1,4 +1,4 @@
-"""Targets: where a request goes, by its request line and Host (RFC 9112, section 3.2)."""
+"""Request targets: host and path from the request line and Host (RFC 9112, section 3.2)."""
 
 from __future__ import annotations
 
@@ -10,20 +10,27 @@
 
 
 class Target(NamedTuple):
-    """Hold the host and the path with its query, as a route is matched by them."""
+    """Host, and path with query, by which a route is matched."""
 
     host: str
     path: str
 
 
 def has_dot_segment(path: str) -> bool:
-    """Return whether a path climbs or stands still: its route and its server could differ on it."""
+    """Return whether a path contains `.` or `..` segments.
+
+    Route matching and the backend server could resolve such a path differently.
+    """
     segments = unquote(path.partition("?")[0]).split("/")
     return not DOT_SEGMENTS.isdisjoint(segments)
 
 
 def parse_target(target: str, host: str) -> Target:
-    """Return host and path; the absolute form goes before Host. Raise ValueError."""
+    """Return the host and path of a request.
+
+    A target in absolute form takes precedence over the Host header. Raises ValueError if the path
+    has dot segments.
+    """
     if target.lower().startswith(SCHEMES):
         url = urlsplit(target)
         query = f"?{url.query}" if url.query else ""
--- a/hornbeamgw/core/transfers.py
+++ b/hornbeamgw/core/transfers.py
@@ -1,42 +1,53 @@
-"""Transfers: how long an answer takes to leave a VM, after the server has given it.
+"""Transfers: estimate how long an answer takes to be sent from a VM.
 
-On links of 3 to 6.5 Mbit/s a roster or drawing pack takes 240 to 345 ms, more than the work
-behind it, and answers under way share the link. A gate that left this out would let in, at the
-users' heaviest, twice as many as its link can carry in time.
+On narrow links, sending a large answer can take longer than processing the request, and concurrent
+answers share the link. Admission control has to include this time, or it would admit more requests
+than the link can answer in time.
 """
 
 from __future__ import annotations
 
-from hornbeamgw.core.pacing import PART_LEAST_BYTES
+from hornbeamgw.core.pacing import PART_MIN_BYTES
 
-SIZE_WEIGHT = 0.1  # of the newest answer
+SIZE_SMOOTHING_FACTOR = 0.1
 
 
 class TransferState:
-    """Hold the mean size of an answer (bytes), by route."""
+    """Mean size of an answer in bytes, by route."""
 
     def __init__(self) -> None:
-        """Start with nothing seen."""
+        """Start without measurements."""
         self.sizes_by_route: dict[str, float] = {}
 
 
 def note_size(state: TransferState, route: str, size: int) -> None:
-    """Take the size (bytes) of an answer."""
+    """Update the mean size of a route's answers with the size of one, in bytes."""
     known = state.sizes_by_route.get(route, float(size))
-    state.sizes_by_route[route] = known + SIZE_WEIGHT * (size - known)
+    state.sizes_by_route[route] = known + SIZE_SMOOTHING_FACTOR * (size - known)
 
 
-def expected(state: TransferState, route: str, pending: int, rate: float) -> float:
-    """Return how long (s) an answer takes at a rate (bytes/s, 0 for any) shared with others.
+def expected_time(state: TransferState, route: str, pending: int, rate: float) -> float:
+    """Return the expected transfer time of an answer in seconds.
 
-    Answers take turns part by part: one of a part or less waits for one part of each other at
-    most, which is little, and a large one for all that is pending (bytes).
+    Concurrent answers are sent alternately, one part at a time. The delay of an answer that fits
+    into one part is negligible; a larger one is expected to wait for all pending data.
+
+    Parameters
+    ----------
+    state : TransferState
+        Mean sizes of answers.
+    route : str
+        Route of the request.
+    pending : int
+        Bytes of other answers that are still to be sent.
+    rate : float
+        Send rate of the link in bytes/s; 0 if unlimited.
     """
-    return time_for(state.sizes_by_route.get(route, 0.0), pending, rate)
+    return transfer_time(state.sizes_by_route.get(route, 0.0), pending, rate)
 
 
-def time_for(size: float, pending: int, rate: float) -> float:
-    """Return how long (s) an answer of an expected size (bytes) takes."""
-    if rate <= 0 or size <= PART_LEAST_BYTES:
+def transfer_time(size: float, pending: int, rate: float) -> float:
+    """Return the transfer time in seconds of an answer of `size` bytes."""
+    if rate <= 0 or size <= PART_MIN_BYTES:
         return 0.0
     return (size + pending) / rate
--- a/hornbeamgw/core/verdict.py
+++ b/hornbeamgw/core/verdict.py
@@ -1,4 +1,4 @@
-"""Verdict: whether a request ran, may have run, or surely did not."""
+"""Verdicts: whether a request ran, may have run, or did not run."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """Say what is known of a request after an attempt."""
+    """Whether a request was processed, as known after an attempt."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
@@ -15,7 +15,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Name why an attempt or a call ended without an answer."""
+    """Why an attempt or a call failed."""
 
     BAD_REQUEST = "bad_request"
     BACKEND_BROKE = "backend_broke"
@@ -38,7 +38,21 @@
 
 
 class Failure(NamedTuple):
-    """Describe an attempt that gave no answer."""
+    """A failed attempt or call.
+
+    Attributes
+    ----------
+    verdict : Verdict
+        Whether the request may have run.
+    reason : Reason
+        Why it failed.
+    detail : str
+        Details for the caller.
+    retry_after_ms : int
+        Delay before the caller should retry; 0 if unspecified.
+    reached_server : bool
+        Whether the request was sent to a backend server.
+    """
 
     verdict: Verdict
     reason: Reason
@@ -48,10 +62,10 @@
 
 
 def not_run(reason: Reason, detail: str = "", retry_after_ms: int = 0) -> Failure:
-    """Return a failure that proves the request did not run."""
+    """Return a failure of a request that did not run."""
     return Failure(Verdict.NOT_RUN, reason, detail, retry_after_ms)
 
 
 def may_have_run(reason: Reason, detail: str = "") -> Failure:
-    """Return a failure that leaves open whether the request ran."""
+    """Return a failure of a request that may have run."""
     return Failure(Verdict.MAY_HAVE_RUN, reason, detail, reached_server=True)
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -12,20 +12,20 @@
 
 from hornbeamgw.core import (
     balancing,
+    caller_retries,
     exposure,
     pacing,
     placement,
     retry_budget,
     retrying,
-    returns,
     split,
     stopping,
     transfers,
 )
 from hornbeamgw.core.balancing import Candidate
+from hornbeamgw.core.caller_retries import ReturnState
 from hornbeamgw.core.exposure import ExposureState
 from hornbeamgw.core.retry_budget import BudgetState
-from hornbeamgw.core.returns import ReturnState
 from hornbeamgw.core.snapshot import match
 from hornbeamgw.core.split import SplitState
 from hornbeamgw.core.target import parse_target
@@ -87,7 +87,7 @@
 # Callers that come back at the same moment would be refused again; they are told to spread
 # their returns over this part of the wait.
 RETURN_SPREAD = 0.5
-# A server that is asked anew needs a third of the objective (service_times.GUESS_OF_OBJECTIVE).
+# A server that is asked anew needs a third of the objective (service_times.INITIAL_TIME_RATIO).
 LEAST_PART_TO_GO_ELSEWHERE = 0.3
 RETURN_MIN_MS = 10
 
@@ -141,7 +141,7 @@
             priority = found.route.priority
             retry_budget.note_request(self._budget, found.service, started, priority)
             share = self._repeat_share()
-            retry_budget.note_inner_repeat(self._budget, found.service, share, started)
+            retry_budget.note_nested_repeat(self._budget, found.service, share, started)
             found = self._refused_by_stop(found, view, started) or found
         if isinstance(found, Failure):
             self.counts[f"failed.{found.reason}"] += 1
@@ -196,9 +196,9 @@
             return None
         traits, pacer = self._servers.traits_of(call), self._pacer
         pending = pacer.pending + pacer.pending_for_callers
-        here = transfers.time_for(traits.size, pending, pacer.rate)
-        rate = pacing.rate_of(self._servers.slowest_link(call, view))
-        transfer = max(here, transfers.time_for(traits.size, 0, rate))
+        here = transfers.transfer_time(traits.size, pending, pacer.rate)
+        rate = pacing.usable_rate(self._servers.slowest_link(call, view))
+        transfer = max(here, transfers.transfer_time(traits.size, 0, rate))
         may_begin = stopping.may_begin(self._stop, call.deadline, traits.service + transfer, now)
         if may_begin and stopping.may_send(self._stop, transfer, now):
             return None
@@ -221,14 +221,14 @@
         if route is None:
             return not_run(Reason.NO_ROUTE, f"{method} {host}{target.partition('?')[0]}")
         allowed = number_of(request, self._dialect.deadline_ms, route.deadline_ms)
-        budget = number_of(request, self._dialect.retry_budget, retrying.DEFAULT_BUDGET)
+        budget = number_of(request, self._dialect.retry_budget, retrying.DEFAULT_RETRY_BUDGET)
         deadline = now + min(allowed, route.deadline_ms) / 1000
         service = split.choose(self._splits, route, self._rng)
         head = heads.RequestHead(
             request.method, target.encode("latin-1"), passed_on(request, self._identity)
         )
         call = Call(call_id, route, service, head, deadline, min(budget, MAX_RETRY_BUDGET))
-        before = returns.elapsed_before(self._returns, route.name, allowed, now)
+        before = caller_retries.elapsed_before(self._returns, route.name, allowed, now)
         call.came_back = before > 0
         call.time_left_ms = allowed
         call.objective = now + call.aim - before
@@ -291,7 +291,7 @@
         if call.refusals >= MAX_REFUSALS or call.arrivals >= call.route.attempts:
             return None
         remaining = call.deadline - now
-        retry = retrying.after(
+        retry = retrying.plan_retry(
             failure,
             call.route.idempotent,
             len(call.placed) or 1,
--- a/hornbeamgw/daemon/server_exchange.py
+++ b/hornbeamgw/daemon/server_exchange.py
@@ -71,14 +71,16 @@
         """Return how long (s) an answer of a route is expected to take to the other daemon."""
         if link.peer == link.hello:
             return 0.0
-        return transfers.expected(self._transfers, route, self._pacer.pending, self._pacer.rate)
+        return transfers.expected_time(
+            self._transfers, route, self._pacer.pending, self._pacer.rate
+        )
 
     def may_send(self, link: Link, route: str, stop: stopping.Plan) -> bool:
         """Return whether an answer of a route would leave before this daemon ends."""
         if link.peer == link.hello:
             return True
         pending = self._pacer.pending + self._pacer.pending_for_callers
-        transfer = transfers.expected(self._transfers, route, pending, self._pacer.rate)
+        transfer = transfers.expected_time(self._transfers, route, pending, self._pacer.rate)
         return stopping.may_send(stop, transfer, asyncio.get_running_loop().time())
 
     def load(self) -> tuple[int, int]:
@@ -132,9 +134,9 @@
         if request is None:
             return
         expected = admission.expected_length(self._state, request, now)
-        if not breaker.is_early(now - attempt.started_at, expected):
+        if not breaker.is_early_loss(now - attempt.started_at, expected):
             return
-        if breaker.note_broken(self.breaker, now):
+        if breaker.note_early_loss(self.breaker, now):
             self._counts["breaker_opened"] += 1
             until_ms = round((self.breaker.open_until - now) * 1000)
             told = {"call_id": attempt.call.call_id, "open_ms": until_ms}
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -174,7 +174,7 @@
     Mutant(
         "less urgent requests leave budget to more urgent ones",
         "hornbeamgw/core/retry_budget.py",
-        (("        allowed *= LESS_URGENT_PART\n", "        pass\n"),),
+        (("        allowed *= LESS_URGENT_RATIO\n", "        pass\n"),),
         BUDGET,
     ),
     Mutant(
@@ -228,7 +228,7 @@
     Mutant(
         "a server that breaks off all is left alone",
         "hornbeamgw/core/breaker.py",
-        (("OPEN_AFTER = 2", "OPEN_AFTER = 10**9"),),
+        (("OPEN_AFTER_LOSSES = 2", "OPEN_AFTER_LOSSES = 10**9"),),
         BREAKER,
     ),
     Mutant(
@@ -372,7 +372,7 @@
     Mutant(
         "a large answer leaves at the pace of the link",
         "hornbeamgw/core/pacing.py",
-        (("return max(0.0, state.free_at - now - BACKLOG_S)", "return 0.0"),),
+        (("return max(0.0, state.free_at - now - MAX_BACKLOG_S)", "return 0.0"),),
         PACING,
     ),
     Mutant(
