--- a/features/steps/budget.py
+++ b/features/steps/budget.py
@@ -31,7 +31,7 @@
         for state in context.states:
             retry_budget.note_request(state, "roster", now)
             context.requests.append(now)
-            if retry_budget.take_repeat(state, "roster", now):
+            if retry_budget.take_retry(state, "roster", now):
                 context.repeats.append(now)
 
 
@@ -47,7 +47,7 @@
             retry_budget.note_request(state, "roster", now, priority)
             context.requests.append(now)
             wants = rng.random() < 0.5
-            if wants and retry_budget.take_repeat(state, "roster", now, priority):
+            if wants and retry_budget.take_retry(state, "roster", now, priority):
                 context.repeats.append(now)
                 context.urgent += priority == 1
 
@@ -82,12 +82,12 @@
     (state,) = context.states
     for _ in range(count):
         retry_budget.note_request(state, "roster", 1.0)
-        retry_budget.note_nested_repeat(state, "roster", 0.5, 1.0)
+        retry_budget.note_nested_retry(state, "roster", 0.5, 1.0)
 
 
 @then("no repeat is allowed")
 def none_allowed(context):
-    assert not retry_budget.take_repeat(context.states[0], "roster", 1.0)
+    assert not retry_budget.take_retry(context.states[0], "roster", 1.0)
 
 
 @given('{count:d} daemons that share a route "{weights}"')
--- a/hornbeamgw/core/balancing.py
+++ b/hornbeamgw/core/balancing.py
@@ -18,12 +18,15 @@
 if TYPE_CHECKING:
     from hornbeamgw.core.placement import RouteTraits
 
+# The capacity of a new server ramps up from the minimum ratio over the slow start period.
 SLOW_START_S = 5.0
 SLOW_START_MIN_RATIO = 0.1
+# Consecutive failures that eject a server, and the length of the first and the longest ejection.
 EJECT_FAILURE_THRESHOLD = 5
 EJECT_BASE_S = 1.0
 EJECT_UNREACHABLE_S = 0.5  # a killed daemon is restarted in about a second
 EJECT_MAX_S = 30.0
+# Ejections are ignored while more than this ratio of the candidates is ejected.
 EJECT_MAX_RATIO = 0.5
 
 
--- a/hornbeamgw/core/breaker.py
+++ b/hornbeamgw/core/breaker.py
@@ -1,8 +1,8 @@
 """Circuit breaker: stop sending requests to a backend server that drops its connections.
 
-Calls that may have run can't be retried, so callers would each have to learn of a failing server
-through failed calls of their own. The daemon next to the server sees all of its failures and can
-refuse later requests with certainty that they did not run.
+Non-idempotent calls that may have run can't be retried, so each daemon would have to detect a
+failing server through failed calls of its own. The daemon next to the server sees all of its
+failures and can refuse later requests with certainty that they did not run.
 
 Only early losses count: connections that are refused or lost before the request could have been
 processed. A response that is lost after the work was done says nothing about the next request.
--- a/hornbeamgw/core/pacing.py
+++ b/hornbeamgw/core/pacing.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-# Transmission time of one part, which is the longest that a small message waits for a part.
+# Transmission time of one part, which limits the delay of small messages.
 PART_DURATION_S = 0.01
 PART_MIN_BYTES = 4 * 1024
 # Size of a part on links that are fast or of unknown bandwidth.
--- a/hornbeamgw/core/placement.py
+++ b/hornbeamgw/core/placement.py
@@ -7,8 +7,8 @@
 centre. Traffic between data centres is expensive, so large requests and answers count against
 remote servers.
 
-A server that refuses or fails some of its requests is not ejected. Its failure probability adds to
-its cost and decays over time, so the server receives a few requests again before full traffic.
+A server that refuses or fails some of its requests is not ejected at once. Its failure probability
+adds to its cost and decays over time, so it receives a few requests again before full traffic.
 """
 
 from __future__ import annotations
--- a/hornbeamgw/core/rendezvous.py
+++ b/hornbeamgw/core/rendezvous.py
@@ -14,8 +14,8 @@
 # Minimum number of readers in a fleet with few data centres. With fewer, the failure of half of the
 # fleet could leave no reader.
 MIN_TOTAL_READERS = 8
-# Readers that push each version; the role rotates with the version. The other readers only push the
-# version to members that have not received it.
+# Readers that push each version; the role rotates with the version. Another reader pushes a version
+# only if it receives no push of it.
 PUSHERS_PER_VERSION = 2
 
 
--- a/hornbeamgw/core/retry_budget.py
+++ b/hornbeamgw/core/retry_budget.py
@@ -43,9 +43,9 @@
 class _Window:
     def __init__(self) -> None:
         self.requests: deque[float] = deque()
-        self.repeats: deque[float] = deque()
-        self.nested_repeats: deque[tuple[float, float]] = deque()
-        self.nested_repeat_sum = 0.0
+        self.retries: deque[float] = deque()
+        self.nested_retries: deque[tuple[float, float]] = deque()
+        self.nested_retry_sum = 0.0
         self.seen_at_by_priority: dict[int, float] = {}
 
 
@@ -62,11 +62,11 @@
 def _window(state: BudgetState, service: str, now: float) -> _Window:
     window = state.windows_by_service.setdefault(service, _Window())
     oldest = now - state.bound.window
-    for times in (window.requests, window.repeats):
+    for times in (window.requests, window.retries):
         while times and times[0] <= oldest:
             times.popleft()
-    while window.nested_repeats and window.nested_repeats[0][0] <= oldest:
-        window.nested_repeat_sum -= window.nested_repeats.popleft()[1]
+    while window.nested_retries and window.nested_retries[0][0] <= oldest:
+        window.nested_retry_sum -= window.nested_retries.popleft()[1]
     return window
 
 
@@ -82,32 +82,32 @@
     window.seen_at_by_priority[priority] = now
 
 
-def note_nested_repeat(state: BudgetState, service: str, probability: float, now: float) -> None:
+def note_nested_retry(state: BudgetState, service: str, probability: float, now: float) -> None:
     """Charge a nested request with the probability that it comes from a retried request."""
     if probability <= 0:
         return
     window = _window(state, service, now)
-    window.nested_repeats.append((now, probability))
-    window.nested_repeat_sum += probability
+    window.nested_retries.append((now, probability))
+    window.nested_retry_sum += probability
 
 
 def _has_more_urgent(window: _Window, priority: int, oldest: float) -> bool:
     return any(other < priority and at > oldest for other, at in window.seen_at_by_priority.items())
 
 
-def has_room(state: BudgetState, service: str, now: float, priority: int = 0) -> bool:
+def allows_retry(state: BudgetState, service: str, now: float, priority: int = 0) -> bool:
     """Return whether the budget allows a retry."""
     window = _window(state, service, now)
     earned = state.bound.ratio * len(window.requests)
     allowed = SPENDABLE_RATIO * (earned + state.bound.slack / state.members)
     if _has_more_urgent(window, priority, now - state.bound.window):
         allowed *= LESS_URGENT_RATIO
-    return len(window.repeats) + window.nested_repeat_sum + 1 <= allowed
+    return len(window.retries) + window.nested_retry_sum + 1 <= allowed
 
 
-def take_repeat(state: BudgetState, service: str, now: float, priority: int = 0) -> bool:
+def take_retry(state: BudgetState, service: str, now: float, priority: int = 0) -> bool:
     """Return whether the budget allows a retry, and count the retry if so."""
-    if not has_room(state, service, now, priority):
+    if not allows_retry(state, service, now, priority):
         return False
-    _window(state, service, now).repeats.append(now)
+    _window(state, service, now).retries.append(now)
     return True
--- a/hornbeamgw/core/retrying.py
+++ b/hornbeamgw/core/retrying.py
@@ -8,8 +8,10 @@
 from hornbeamgw.core.verdict import Failure, Reason, Verdict
 
 DEFAULT_RETRY_BUDGET = 2
-BACKOFF_S = 0.005
+# Maximum delay of the first and of any retry.
+BACKOFF_BASE_S = 0.005
 BACKOFF_MAX_S = 0.1
+# Failures that are never retried.
 FINAL_REASONS = frozenset(
     {Reason.CALLER_GONE, Reason.DEADLINE, Reason.BAD_REQUEST, Reason.QUARANTINED}
 )
@@ -50,7 +52,7 @@
         return None
     if failure.verdict is not Verdict.NOT_RUN and not idempotent:
         return None
-    ceiling = min(BACKOFF_MAX_S, BACKOFF_S * 2 ** (attempts - 1))
+    ceiling = min(BACKOFF_MAX_S, BACKOFF_BASE_S * 2 ** (attempts - 1))
     delay = rng.uniform(0, ceiling)
     return Retry(delay) if delay < remaining else None
 
--- a/hornbeamgw/core/target.py
+++ b/hornbeamgw/core/target.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 from urllib.parse import unquote, urlsplit
 
-SCHEMES = ("http://", "https://")
+URL_SCHEMES = ("http://", "https://")
 DOT_SEGMENTS = frozenset({".", ".."})
 
 
@@ -31,7 +31,7 @@
     A target in absolute form takes precedence over the Host header. Raises ValueError if the path
     has dot segments.
     """
-    if target.lower().startswith(SCHEMES):
+    if target.lower().startswith(URL_SCHEMES):
         url = urlsplit(target)
         query = f"?{url.query}" if url.query else ""
         host, target = url.netloc, f"{url.path or '/'}{query}"
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -141,7 +141,7 @@
             priority = found.route.priority
             retry_budget.note_request(self._budget, found.service, started, priority)
             share = self._repeat_share()
-            retry_budget.note_nested_repeat(self._budget, found.service, share, started)
+            retry_budget.note_nested_retry(self._budget, found.service, share, started)
             found = self._refused_by_stop(found, view, started) or found
         if isinstance(found, Failure):
             self.counts[f"failed.{found.reason}"] += 1
@@ -301,7 +301,7 @@
         )
         if retry is None or not call.arrivals:
             return retry
-        if not retry_budget.take_repeat(self._budget, call.service, now, call.route.priority):
+        if not retry_budget.take_retry(self._budget, call.service, now, call.route.priority):
             self.counts["retries_over_budget"] += 1
             return None
         return retry
@@ -314,7 +314,7 @@
             return False
         has_other = self._servers.has_other(call, self._view(), now)
         priority = call.route.priority
-        return has_other and retry_budget.has_room(self._budget, call.service, now, priority)
+        return has_other and retry_budget.allows_retry(self._budget, call.service, now, priority)
 
     def _unplaced(self, call: Call) -> Failure:
         if not call.retry_after_ms:
