--- a/hornbeamgw/daemon/server_exchange.py
+++ b/hornbeamgw/daemon/server_exchange.py
@@ -133,7 +133,7 @@
         request = self._state.running_by_attempt.get(attempt.id)
         if request is None:
             return
-        expected = admission.expected_length(self._state, request, now)
+        expected = admission.expected_service_time(self._state, request, now)
         if not breaker.is_early_loss(now - attempt.started_at, expected):
             return
         if breaker.note_early_loss(self.breaker, now):
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -71,7 +71,7 @@
         "hornbeamgw/core/stopping.py",
         (
             (
-                "    return is_early and now + GUESS_FACTOR * expected <= stop.ends_at",
+                "    return is_early and now + ESTIMATE_SAFETY_FACTOR * expected <= stop.ends_at",
                 "    return True",
             ),
         ),
@@ -168,7 +168,7 @@
     Mutant(
         "long work leaves a slot to short urgent calls",
         "hornbeamgw/core/queueing.py",
-        (("    if use < LEAST_USE_TO_HOLD:\n", "    if True:\n"),),
+        (("    if slot_use < MIN_SLOT_USE_TO_KEEP_LAST:\n", "    if True:\n"),),
         QUEUEING,
     ),
     Mutant(
@@ -180,7 +180,7 @@
     Mutant(
         "a request under which three servers have ended reaches no other",
         "hornbeamgw/daemon/quarantine.py",
-        (("if not left:\n            return None", "return None"),),
+        (("if not remaining:\n            return None", "return None"),),
         QUARANTINE,
     ),
     Mutant(
@@ -192,7 +192,7 @@
     Mutant(
         "what ran beside the cause is not blamed",
         "hornbeamgw/core/quarantine.py",
-        (("for i in ends))) == 1", "for i in ends))) > 0"),),
+        (("for i in ids))) == 1", "for i in ids))) > 0"),),
         QUARANTINE,
     ),
     Mutant(
@@ -326,7 +326,7 @@
     Mutant(
         "an attempt never admitted is fenced",
         "hornbeamgw/core/admission.py",
-        (("    _remember(state, attempt, Fate.FENCED, now)\n", ""),),
+        (("    _record_status(state, attempt, AttemptStatus.FENCED, now)\n", ""),),
         ADMISSION,
     ),
     Mutant(
@@ -334,8 +334,8 @@
         "hornbeamgw/core/admission.py",
         (
             (
-                "    withdraw(state, attempt, now)\n    _remember(",
-                "    _remember(",
+                "    withdraw(state, attempt, now)\n    _record_status(",
+                "    _record_status(",
             ),
         ),
         ADMISSION,
@@ -343,7 +343,12 @@
     Mutant(
         "a running attempt may have run",
         "hornbeamgw/core/admission.py",
-        (("known.fate in (Fate.RUNNING, Fate.FINISHED)", "known.fate is Fate.FINISHED"),),
+        (
+            (
+                "record.status in (AttemptStatus.RUNNING, AttemptStatus.FINISHED)",
+                "record.status is AttemptStatus.FINISHED",
+            ),
+        ),
         ADMISSION,
     ),
     Mutant(
