--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -236,7 +236,7 @@
     if not hasattr(context, "registration"):
         context.registration = registration.RegistrationState()
     beat = Heartbeat(instance, "roster", "127.0.0.1:1", 6, ServerState[state.upper()], sequence)
-    context.taken = registration.take(context.registration, beat, 1.0)
+    context.taken = registration.receive(context.registration, beat, 1.0)
 
 
 @given('incarnation "{instance}" has left')
--- a/features/steps/reborn.py
+++ b/features/steps/reborn.py
@@ -46,7 +46,7 @@
         context.runs = RegistrationState()
     beat = Heartbeat(instance, "roster", "127.0.0.1:1", 6, ServerState[state.upper()], sequence)
     beat = beat._replace(started_ms=started)
-    context.was_news = registration.take(context.runs, beat, getattr(context, "now", 1.0))
+    context.was_news = registration.receive(context.runs, beat, getattr(context, "now", 1.0))
 
 
 @given('the run of "{instance}" started at {started:d} has left')
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -11,15 +11,15 @@
 from behave import given, then, when
 
 from benchmarks.rollouts import LOADS, TAIL_LOADS, TROUBLES, badness_of
-from hornbeamgw.core import evidence, exposure, rollout, tally
-from hornbeamgw.core.evidence import EvidenceState
-from hornbeamgw.core.exposure import Arm, Asked, ExposureBound, ExposureState
+from hornbeamgw.core import canary_analysis, exposure, rollout, tally
+from hornbeamgw.core.canary_analysis import AnalysisState
+from hornbeamgw.core.exposure import Arm, ExposureBound, ExposureState, RequestTraits
 from hornbeamgw.core.membership import Member, ServerState
 from hornbeamgw.core.node import Envelope
-from hornbeamgw.core.rollout import Order, RolloutState, Seen
+from hornbeamgw.core.rollout import FleetView, Order, RolloutState
+from hornbeamgw.core.rollout_status import Closing, Phase, RolloutStatus
 from hornbeamgw.core.snapshot import EMPTY, Limits
-from hornbeamgw.core.standing import Closing, Phase, Standing
-from hornbeamgw.core.tally import Count, Ended, Tally
+from hornbeamgw.core.tally import AttemptOutcome, Count, Tally
 from hornbeamgw.core.verdict import Reason, Verdict, may_have_run, not_run
 from hornbeamgw.daemon import codec, datagrams, frames
 from hornbeamgw.daemon.gate import Announcement, Gate
@@ -35,7 +35,7 @@
 @given("a daemon of a fleet of {daemons:d} that may expose {share:g} of the requests and {slack:d} more")  # fmt: skip  # noqa: E501
 def one_daemon(context, daemons, share, slack):
     context.state = ExposureState(ExposureBound(share, slack))
-    exposure.note_members(context.state, daemons)
+    exposure.record_fleet_size(context.state, daemons)
     context.number, context.step = 1, 0
     context.rng = random.Random(1)
 
@@ -43,8 +43,10 @@
 def hear(context, phase, target="v2", closing=Closing.OPEN):
     context.step += 1
     length_ms = 0 if phase is Phase.MOVING else 65535
-    standing = Standing(SERVICE, target, context.number, phase, context.step, length_ms, closing)
-    exposure.hear(context.state, standing, 10.0)
+    standing = RolloutStatus(
+        SERVICE, target, context.number, phase, context.step, length_ms, closing
+    )
+    exposure.receive(context.state, standing, 10.0)
 
 
 @given('it hears that the new version is "{phase}"')
@@ -76,16 +78,16 @@
 
 
 def arm(context, is_first=True, is_idempotent=True):
-    asked = Asked(SERVICE, 0.1, is_first, is_idempotent)
-    return exposure.arm_of(context.state, asked, OPEN, context.rng)
+    asked = RequestTraits(SERVICE, 0.1, is_first, is_idempotent)
+    return exposure.select_arm(context.state, asked, OPEN, context.rng)
 
 
 def goes_to_new(context, is_first=True):
     """Return whether a request goes to the new version, with servers of two versions there."""
     servers = members("v1", "v2")
-    exposure.note_seen(context.state, SERVICE, {"v1", "v2"}, 0.0)
+    exposure.record_versions(context.state, SERVICE, {"v1", "v2"}, 0.0)
     if arm(context, is_first) is Arm.BEFORE:
-        found = exposure.servers_before(context.state, SERVICE, servers, 1000.0)
+        found = exposure.servers_in_use(context.state, SERVICE, servers, 1000.0)
     else:
         found = exposure.new_servers(context.state, SERVICE, servers)
     (version,) = {member.software for member in found}
@@ -98,9 +100,9 @@
         is_new = goes_to_new(context)
         context.sent += is_new
         software = "v2" if is_new else "v1"
-        exposure.note_sent(context.state, SERVICE, software)
-        exposure.note_reached(context.state, SERVICE)
-        exposure.note_answer(context.state, SERVICE, software, fails and is_new)
+        exposure.record_sent(context.state, SERVICE, software)
+        exposure.record_reached(context.state, SERVICE)
+        exposure.record_answer(context.state, SERVICE, software, fails and is_new)
 
 
 @when("{count:d} requests reach servers of the service")
@@ -131,15 +133,17 @@
         context.sent += where is Arm.NEW
         context.waited += where is Arm.WAIT
         if where is Arm.NEW:
-            exposure.note_sent(context.state, SERVICE, "v2")
-        exposure.note_reached(context.state, SERVICE)
+            exposure.record_sent(context.state, SERVICE, "v2")
+        exposure.record_reached(context.state, SERVICE)
     context.others = count - context.sent
 
 
 @when("{count:d} requests that have waited ask {times:d} times each")
 def ask_again(context, count, times):
-    asked = Asked(SERVICE, 0.1, True, is_idempotent=False, has_waited=True)
-    arms = [exposure.arm_of(context.state, asked, OPEN, context.rng) for _ in range(count * times)]
+    asked = RequestTraits(SERVICE, 0.1, True, is_idempotent=False, has_waited=True)
+    arms = [
+        exposure.select_arm(context.state, asked, OPEN, context.rng) for _ in range(count * times)
+    ]
     context.arms_of_waiting = set(arms)
 
 
@@ -177,32 +181,32 @@
 
 def versions_before(context, now=1000.0):
     servers = members("v1", "v2", "v3")
-    return {m.software for m in exposure.servers_before(context.state, SERVICE, servers, now)}
+    return {m.software for m in exposure.servers_in_use(context.state, SERVICE, servers, now)}
 
 
 @then("requests go to the version of before alone")
 def before_alone(context):
     now = getattr(context, "now", 1000.0)
     servers = members("v1", "v2") if hasattr(context, "now") else members("v1", "v2", "v3")
-    found = exposure.servers_before(context.state, SERVICE, servers, now)
+    found = exposure.servers_in_use(context.state, SERVICE, servers, now)
     assert {m.software for m in found} == {"v1"}, found
 
 
 @given("it has known the version of before for a minute")
 def known(context):
     context.now = 100.0
-    exposure.note_seen(context.state, SERVICE, {"v1"}, context.now - 60)
+    exposure.record_versions(context.state, SERVICE, {"v1"}, context.now - 60)
 
 
 @when("a server of another version appears")
 def appears(context):
-    exposure.note_seen(context.state, SERVICE, {"v1", "v2"}, context.now)
+    exposure.record_versions(context.state, SERVICE, {"v1", "v2"}, context.now)
 
 
 @then("a second later they go to both")
 def both(context):
     later = context.now + 1.01
-    found = exposure.servers_before(context.state, SERVICE, members("v1", "v2"), later)
+    found = exposure.servers_in_use(context.state, SERVICE, members("v1", "v2"), later)
     assert {m.software for m in found} == {"v1", "v2"}, found
 
 
@@ -214,15 +218,15 @@
 @then("a second attempt goes to the version of before")
 def second_before(context):
     for _ in range(500):
-        exposure.note_reached(context.state, SERVICE)
+        exposure.record_reached(context.state, SERVICE)
     assert Arm.NEW in {arm(context) for _ in range(100)}
     assert {arm(context, is_first=False) for _ in range(100)} == {Arm.BEFORE}
 
 
 @when("a server of a third version appears later")
 def third_appears(context):
-    exposure.note_seen(context.state, SERVICE, {"v1", "v2"}, 0.0)
-    exposure.note_seen(context.state, SERVICE, {"v1", "v2", "v3"}, 60.0)
+    exposure.record_versions(context.state, SERVICE, {"v1", "v2"}, 0.0)
+    exposure.record_versions(context.state, SERVICE, {"v1", "v2", "v3"}, 60.0)
 
 
 @then("requests go to the new and the third version, and no more to the one before")
@@ -247,12 +251,12 @@
 @given("an attempt that ended with {how} after {held:g} of its typical time")
 def ended(context, how, held):
     failure, status = ENDS[how]
-    context.ended = Ended(failure, status, held * 0.2, 0.2, 1.0)
+    context.ended = AttemptOutcome(failure, status, held * 0.2, 0.2, 1.0)
 
 
 @given("an attempt at a cold server that took {times:g} times its typical time")
 def ended_cold(context, times):
-    context.ended = Ended(None, 200, times * 0.2, 0.2, 1.0, is_cold=True)
+    context.ended = AttemptOutcome(None, 200, times * 0.2, 0.2, 1.0, is_cold=True)
 
 
 @then('that answer is "{verdict}"')
@@ -262,10 +266,12 @@
 
 @given("reports of a new server: {first:d} answers, {second:d} answers, then {third:d} after it has started again")  # fmt: skip  # noqa: E501
 def reports(context, first, second, third):
-    context.evidence = EvidenceState("v2")
+    context.evidence = AnalysisState("v2")
     for now, answers in enumerate((first, second, third)):
         counts = {"r-0": Count(answers, 0)}
-        evidence.take(context.evidence, "n0", Tally(SERVICE, 0, "v2", counts), float(now))
+        canary_analysis.record_tally(
+            context.evidence, "n0", Tally(SERVICE, 0, "v2", counts), float(now)
+        )
 
 
 @then("{answers:d} answers of the new version were seen")
@@ -408,13 +414,15 @@
 def leader_due(context):
     order = Order(SERVICE, "v2", DUE_S, 1)
     context.leading = RolloutState(order, ExposureBound(0.1, 50.0), 0.0)
-    evidence.take(context.leading.evidence, "n3/2", Tally(SERVICE, 2, "v2", {}), 0.0)
+    canary_analysis.record_tally(context.leading.analysis, "n3/2", Tally(SERVICE, 2, "v2", {}), 0.0)
     good = {"r-0": Count(200, 0)}
-    evidence.take(context.leading.evidence, "n3/2", Tally(SERVICE, 2, "v2", good), 5.0)
-    context.seen = Seen(["n3/2"], BEFORE, True)
+    canary_analysis.record_tally(
+        context.leading.analysis, "n3/2", Tally(SERVICE, 2, "v2", good), 5.0
+    )
+    context.seen = FleetView(["n3/2"], BEFORE, True)
     context.now = 0.0
-    while context.leading.standing.closing is not Closing.CLOSED:
-        assert context.now < DUE_S, context.leading.standing
+    while context.leading.status.closing is not Closing.CLOSED:
+        assert context.now < DUE_S, context.leading.status
         lead(context)
 
 
@@ -422,32 +430,32 @@
     context.now += passed
     step = rollout.next_step(context.leading, context.seen, context.now)
     if step is not None:
-        rollout.take(context.leading, step.standing, context.now)
-    return context.leading.standing
+        rollout.apply(context.leading, step.status, context.now)
+    return context.leading.status
 
 
 def tell_leader(context, server, closed_step, unsafe):
     counts = {"r-0": Count(100, 0)}
     told = Tally(SERVICE, 1, "v1", counts, closed_step, unsafe)
-    evidence.take(context.leading.evidence, server, told, context.now)
+    canary_analysis.record_tally(context.leading.analysis, server, told, context.now)
 
 
 @then("it completes the order only after both have told that they hold no booking")
 def after_both(context):
-    step = context.leading.standing.step
+    step = context.leading.status.step
     assert lead(context).phase is Phase.MOVING
     tell_leader(context, BEFORE[0], step, 0)
     assert lead(context).phase is Phase.MOVING
     tell_leader(context, BEFORE[1], step, 1)
     assert lead(context).phase is Phase.MOVING
-    context.held = context.leading.standing
+    context.held = context.leading.status
     tell_leader(context, BEFORE[1], step, 0)
     assert lead(context).phase is Phase.DONE
 
 
 @then("what they told of an earlier closing does not count")
 def earlier(context):
-    context.leading.standing = context.held
+    context.leading.status = context.held
     for server in BEFORE:
         tell_leader(context, server, context.held.step - 1, 0)
     assert lead(context).phase is Phase.MOVING
@@ -467,7 +475,7 @@
 
 @given("what a daemon tells of a closed server and of a rollout")
 def tells(context):
-    closed = Standing(SERVICE, "v2", 1, Phase.MOVING, 7, 0, Closing.CLOSED)
+    closed = RolloutStatus(SERVICE, "v2", 1, Phase.MOVING, 7, 0, Closing.CLOSED)
     me = Member("127.0.0.1:1", "dc", "r", 1, service=SERVICE, standings=(closed,))
     context.tally = Tally(SERVICE, 2, "v1", {"r-0": Count(3, 1)}, 7, 4)
     context.envelope = Envelope(me.address, 1, 2, 3, [me], context.tally)
--- a/hornbeamgw/core/membership.py
+++ b/hornbeamgw/core/membership.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from hornbeamgw.core.finding import Finding
-from hornbeamgw.core.standing import Standing
+from hornbeamgw.core.rollout_status import RolloutStatus
 
 
 class Status(enum.IntEnum):
@@ -72,7 +72,7 @@
     software: str = ""
     server: int = 0
     further_servers: tuple[FurtherServer, ...] = ()
-    standings: tuple[Standing, ...] = ()
+    standings: tuple[RolloutStatus, ...] = ()
 
 
 def with_each_server(member: Member) -> list[Member]:
@@ -220,7 +220,7 @@
             state.view_hash ^= _record_hash(record)
 
 
-def _news_of(member: Member) -> tuple[Finding | Standing, ...]:
+def _news_of(member: Member) -> tuple[Finding | RolloutStatus, ...]:
     return *member.findings, *member.standings
 
 
--- a/hornbeamgw/core/registration.py
+++ b/hornbeamgw/core/registration.py
@@ -15,10 +15,10 @@
 
 from hornbeamgw.core.membership import ServerState
 
-REMEMBERED_INSTANCES = 256
+MAX_INSTANCES = 256
 # A heartbeat of another server that was started before the one heard last is a late one, unless
 # that has been silent for so long (s, four heartbeats): then a clock was set back between the two.
-LATE_WITHIN_S = 6.0
+LATE_HEARTBEAT_WINDOW_S = 6.0
 
 
 class Heartbeat(NamedTuple):
@@ -33,7 +33,7 @@
     slots: int
     state: ServerState
     sequence: int
-    warmup: float = 0.0
+    warmup_s: float = 0.0
     software: str = ""
     started_ms: int = 0
 
@@ -75,72 +75,76 @@
     return before == after._replace(expires_at=before.expires_at, warm_at=before.warm_at)
 
 
-class _Known(NamedTuple):
+class _KnownRun(NamedTuple):
     started_ms: int
     sequence: int
     is_draining: bool
     is_gone: bool
 
 
-UNKNOWN = _Known(0, -1, False, False)
-KnownByInstance = OrderedDict[str, _Known]
+UNKNOWN_RUN = _KnownRun(0, -1, False, False)
+KnownRunsByInstance = OrderedDict[str, _KnownRun]
 
 
 class RegistrationState:
     """Hold the incarnation that is believed to live at an address, and those heard of before."""
 
-    def __init__(self, known_by_instance: KnownByInstance | None = None) -> None:
+    def __init__(self, known_runs_by_instance: KnownRunsByInstance | None = None) -> None:
         """Start without a backend server; take what is known of those at other addresses."""
         self.current: Heartbeat | None = None
-        self.heard_at = -math.inf
+        self.received_at = -math.inf
         self.latest_started_ms = 0
         self.warm_at = 0.0
-        self.known_by_instance: KnownByInstance = (
-            OrderedDict() if known_by_instance is None else known_by_instance
+        self.known_runs_by_instance: KnownRunsByInstance = (
+            OrderedDict() if known_runs_by_instance is None else known_runs_by_instance
         )
 
 
-def _remember(state: RegistrationState, instance: str, known: _Known) -> None:
-    state.known_by_instance[instance] = known
-    state.known_by_instance.move_to_end(instance)
-    while len(state.known_by_instance) > REMEMBERED_INSTANCES:
-        state.known_by_instance.popitem(last=False)
+def _store_run(state: RegistrationState, instance: str, known: _KnownRun) -> None:
+    state.known_runs_by_instance[instance] = known
+    state.known_runs_by_instance.move_to_end(instance)
+    while len(state.known_runs_by_instance) > MAX_INSTANCES:
+        state.known_runs_by_instance.popitem(last=False)
 
 
-def _last_run(state: RegistrationState, instance: str, started_ms: int) -> _Known:
+def _latest_run(state: RegistrationState, instance: str, started_ms: int) -> _KnownRun:
     """Return what is known of a run, or of a later one of the same server."""
-    known = state.known_by_instance.get(instance, UNKNOWN)
-    return known if started_ms <= known.started_ms else UNKNOWN._replace(started_ms=started_ms)
+    known = state.known_runs_by_instance.get(instance, UNKNOWN_RUN)
+    return known if started_ms <= known.started_ms else UNKNOWN_RUN._replace(started_ms=started_ms)
 
 
-def _is_late(state: RegistrationState, beat: Heartbeat, known: _Known, now: float) -> bool:
-    is_earlier_run = beat.started_ms < known.started_ms
-    if now - state.heard_at < LATE_WITHIN_S:
-        is_earlier_run |= 0 < beat.started_ms < state.latest_started_ms
-    return is_earlier_run or known.is_gone or beat.sequence <= known.sequence
+def _is_late(state: RegistrationState, heartbeat: Heartbeat, known: _KnownRun, now: float) -> bool:
+    is_earlier_run = heartbeat.started_ms < known.started_ms
+    if now - state.received_at < LATE_HEARTBEAT_WINDOW_S:
+        is_earlier_run |= 0 < heartbeat.started_ms < state.latest_started_ms
+    return is_earlier_run or known.is_gone or heartbeat.sequence <= known.sequence
 
 
-def take(state: RegistrationState, beat: Heartbeat, now: float) -> bool:
+def receive(state: RegistrationState, heartbeat: Heartbeat, now: float) -> bool:
     """Take a heartbeat and return whether it tells anything new."""
-    known = _last_run(state, beat.instance, beat.started_ms)
-    if _is_late(state, beat, known, now):
+    known = _latest_run(state, heartbeat.instance, heartbeat.started_ms)
+    if _is_late(state, heartbeat, known, now):
         return False
-    draining = known.is_draining or beat.state is ServerState.DRAINING
-    if draining:
-        beat = beat._replace(state=ServerState.DRAINING)
-    _remember(state, beat.instance, _Known(beat.started_ms, beat.sequence, draining, False))
-    state.current = beat
-    state.heard_at = now
-    state.latest_started_ms = beat.started_ms
-    state.warm_at = now + beat.warmup
+    is_draining = known.is_draining or heartbeat.state is ServerState.DRAINING
+    if is_draining:
+        heartbeat = heartbeat._replace(state=ServerState.DRAINING)
+    _store_run(
+        state,
+        heartbeat.instance,
+        _KnownRun(heartbeat.started_ms, heartbeat.sequence, is_draining, False),
+    )
+    state.current = heartbeat
+    state.received_at = now
+    state.latest_started_ms = heartbeat.started_ms
+    state.warm_at = now + heartbeat.warmup_s
     return True
 
 
-def assume(state: RegistrationState, beat: Heartbeat, now: float) -> None:
+def adopt(state: RegistrationState, heartbeat: Heartbeat, now: float) -> None:
     """Take a server for the one that lives here, until it says anything itself."""
-    state.current = beat
-    state.heard_at = now
-    state.latest_started_ms = beat.started_ms
+    state.current = heartbeat
+    state.received_at = now
+    state.latest_started_ms = heartbeat.started_ms
 
 
 def retire(state: RegistrationState, instance: str, started_ms: int = 0) -> bool:
@@ -148,11 +152,11 @@
 
     Return whether it was the one believed to live here.
     """
-    known = state.known_by_instance.get(instance, UNKNOWN)
+    known = state.known_runs_by_instance.get(instance, UNKNOWN_RUN)
     if 0 < started_ms < known.started_ms:
         return False
-    ended = _Known(max(started_ms, known.started_ms), known.sequence, known.is_draining, True)
-    _remember(state, instance, ended)
+    ended = _KnownRun(max(started_ms, known.started_ms), known.sequence, known.is_draining, True)
+    _store_run(state, instance, ended)
     if state.current is None or state.current.instance != instance:
         return False
     state.current = None
--- a/hornbeamgw/core/standing.py
+++ b/hornbeamgw/core/rollout_status.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 # Services that are rolled out at once are few; a record stays within one datagram.
-MOST_STANDINGS = 8
-NO_REQUEST_MS = 0xFFFF
+MAX_ROLLOUT_STATUSES = 8
+MOVE_NONE_MS = 0xFFFF
 
 
 class Phase(enum.IntEnum):
@@ -31,7 +31,7 @@
     CLOSED = 2  # none, as the new version was found good; what runs goes on to its end
 
 
-class Standing(NamedTuple):
+class RolloutStatus(NamedTuple):
     """Hold how far an order has come; the step rises with each change.
 
     While requests are moving, those that are expected to take at least the length (ms) are moved;
@@ -43,7 +43,7 @@
     number: int
     phase: Phase
     step: int = 0
-    length_ms: int = NO_REQUEST_MS
+    length_ms: int = MOVE_NONE_MS
     closing: Closing = Closing.OPEN
 
     @property
@@ -52,12 +52,12 @@
         return self.phase >= Phase.BACK
 
 
-def _rank(standing: Standing) -> tuple[int, int, int]:
+def _rank(status: RolloutStatus) -> tuple[int, int, int]:
     """Rank what is told of one order: what is decided wins, and what was written down most."""
-    decided = standing.phase if standing.is_final else 0
-    return standing.number, decided, standing.step
+    decided = status.phase if status.is_final else 0
+    return status.number, decided, status.step
 
 
-def is_later(heard: Standing, held: Standing | None) -> bool:
+def supersedes(received: RolloutStatus, held: RolloutStatus | None) -> bool:
     """Return whether a standing takes the place of the one held for the same version."""
-    return held is None or _rank(heard) > _rank(held)
+    return held is None or _rank(received) > _rank(held)
--- a/hornbeamgw/core/tally.py
+++ b/hornbeamgw/core/tally.py
@@ -15,9 +15,9 @@
 
 # An answer is slow that took so many times as long as is typical: service times spread by 0.8 of
 # their mean, and of two servers one may be twice as fast.
-SLOW_TIMES = 3.0
-SERVER_ERROR = 500
-KEPT_ROUTES = 64
+SLOW_FACTOR = 3.0
+SERVER_ERROR_STATUS = 500
+MAX_ROUTES = 64
 
 
 class Count(NamedTuple):
@@ -42,7 +42,7 @@
     unsafe: int = 0
 
 
-class Ended(NamedTuple):
+class AttemptOutcome(NamedTuple):
     """Hold how an attempt ended: its answer's status and how long (s) it was waited for.
 
     What is typical (s) comes from the caller's daemon, or is 0. A server that is cold takes longer.
@@ -50,33 +50,35 @@
 
     failure: Failure | None
     status: int
-    held: float
-    typical: float
-    aim: float
+    elapsed_s: float
+    typical_s: float
+    objective_s: float
     is_cold: bool = False
 
 
-def slow_after(typical: float, aim: float, is_cold: bool) -> float:
+def slow_threshold(typical_s: float, objective_s: float, is_cold: bool) -> float:
     """Return after how long (s) a request is slow, by what is typical (s or 0) or its objective."""
-    times = SLOW_TIMES * (COLD_FACTOR if is_cold else 1.0)
-    return times * (typical or GUESS_OF_OBJECTIVE * aim)
+    times = SLOW_FACTOR * (COLD_FACTOR if is_cold else 1.0)
+    return times * (typical_s or GUESS_OF_OBJECTIVE * objective_s)
 
 
-def is_bad(ended: Ended) -> bool | None:
+def is_bad(outcome: AttemptOutcome) -> bool | None:
     """Return whether an attempt ended badly by its server's doing, None where that says nothing."""
-    is_slow = ended.held > slow_after(ended.typical, ended.aim, ended.is_cold)
-    if ended.failure is None:
-        return ended.status >= SERVER_ERROR or is_slow
-    if ended.failure.reason in (Reason.BACKEND_BROKE, Reason.BACKEND_UNREACHABLE):
+    is_slow = outcome.elapsed_s > slow_threshold(
+        outcome.typical_s, outcome.objective_s, outcome.is_cold
+    )
+    if outcome.failure is None:
+        return outcome.status >= SERVER_ERROR_STATUS or is_slow
+    if outcome.failure.reason in (Reason.BACKEND_BROKE, Reason.BACKEND_UNREACHABLE):
         return True
-    return True if ended.failure.reason is Reason.DEADLINE and is_slow else None
+    return True if outcome.failure.reason is Reason.DEADLINE and is_slow else None
 
 
-def note(counts_by_route: dict[str, Count], route: str, bad: bool) -> None:
+def record(counts_by_route: dict[str, Count], route: str, bad: bool) -> None:
     """Count an answer."""
     known = counts_by_route.get(route)
     if known is None:
-        if len(counts_by_route) >= KEPT_ROUTES:
+        if len(counts_by_route) >= MAX_ROUTES:
             return
         known = Count()
     counts_by_route[route] = Count(known.answers + 1, known.bad + bad)
--- a/hornbeamgw/daemon/announcements.py
+++ b/hornbeamgw/daemon/announcements.py
@@ -56,7 +56,7 @@
         self._adoption = adoption
         self._is_service = is_service
         self.states_by_address: dict[str, RegistrationState] = {}
-        self._known_by_instance: registration.KnownByInstance = OrderedDict()
+        self._known_by_instance: registration.KnownRunsByInstance = OrderedDict()
         self._gates = gates
         self._decode = decode
         self._connections = connections
@@ -111,7 +111,7 @@
         now = asyncio.get_running_loop().time()
         home = self._home_of(beat.instance)
         state = self._state_at(beat.address)
-        if not registration.take(state, beat, now):
+        if not registration.receive(state, beat, now):
             log.info("late heartbeat", extra={"instance": beat.instance, "sequence": beat.sequence})
             return
         if home is not None and home != beat.address:
@@ -166,7 +166,7 @@
             return
         if not self._is_heard_at(known.address):
             now = asyncio.get_running_loop().time()
-            registration.assume(self._state_at(known.address), _as_heartbeat(known), now)
+            registration.adopt(self._state_at(known.address), _as_heartbeat(known), now)
             self._gates.announce(known._replace(expires_at=now + self._ttl))
 
     def _on_departure(self, told: Departure) -> None:
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -351,7 +351,7 @@
             self._send_call(attempt, call, remaining)
             if self.draining:
                 _hurry(attempt)
-            exposure.note_sent(self._exposed, call.service, chosen.member.software)
+            exposure.record_sent(self._exposed, call.service, chosen.member.software)
             failure = await self._await_answer(connection, call, attempt, address)
             self._note_exposed(call, chosen, failure)
             return failure
@@ -363,11 +363,11 @@
         """Count a request that has reached a server, and what became of it."""
         if failure is not None and failure.verdict is Verdict.NOT_RUN:
             if failure.reached_server:
-                exposure.note_reached(self._exposed, call.service)
+                exposure.record_reached(self._exposed, call.service)
             return
-        exposure.note_reached(self._exposed, call.service)
+        exposure.record_reached(self._exposed, call.service)
         is_bad = call.status >= SERVER_ERROR if failure is None else failure.reason in SERVER_FAULTS
-        exposure.note_answer(self._exposed, call.service, chosen.member.software, is_bad)
+        exposure.record_answer(self._exposed, call.service, chosen.member.software, is_bad)
 
     def _send_call(self, attempt: Attempt, call: Call, remaining: float) -> None:
         margin = min(GATE_MARGIN_MAX_S, remaining * GATE_MARGIN)
--- a/hornbeamgw/daemon/codec.py
+++ b/hornbeamgw/daemon/codec.py
@@ -11,8 +11,8 @@
 
 from hornbeamgw.core.finding import MOST_FINDINGS, MOST_FINGERPRINTS, Finding, FindingKind
 from hornbeamgw.core.membership import FurtherServer, Member, ServerState, Status
+from hornbeamgw.core.rollout_status import MAX_ROLLOUT_STATUSES, Closing, Phase, RolloutStatus
 from hornbeamgw.core.snapshot import Limits
-from hornbeamgw.core.standing import MOST_STANDINGS, Closing, Phase, Standing
 from hornbeamgw.core.verdict import Failure, Reason, Verdict
 from hornbeamgw.daemon import frames
 
@@ -65,16 +65,18 @@
             _write_standing(standings[index], standing)
 
 
-def _write_standing(out: Any, standing: Standing) -> None:
+def _write_standing(out: Any, standing: RolloutStatus) -> None:
     out.service, out.target, out.number = standing.service, standing.target, standing.number
     out.phase, out.step, out.lengthMs = int(standing.phase), standing.step, standing.length_ms
     out.closing = int(standing.closing)
 
 
-def _read_standing(raw: Any) -> Standing:
+def _read_standing(raw: Any) -> RolloutStatus:
     phase = Phase(raw.phase)
     closing = Closing(min(raw.closing, Closing.CLOSED))
-    return Standing(raw.service, raw.target, raw.number, phase, raw.step, raw.lengthMs, closing)
+    return RolloutStatus(
+        raw.service, raw.target, raw.number, phase, raw.step, raw.lengthMs, closing
+    )
 
 
 def _write_further_server(out: Any, server: FurtherServer) -> None:
@@ -163,8 +165,8 @@
     findings, further_servers, standings = _read_lists(raw)
     if len(findings) > MOST_FINDINGS:
         raise ValueError(f"{len(findings)} findings, expected {MOST_FINDINGS} at most")
-    if len(standings) > MOST_STANDINGS:
-        raise ValueError(f"{len(standings)} standings, expected {MOST_STANDINGS} at most")
+    if len(standings) > MAX_ROLLOUT_STATUSES:
+        raise ValueError(f"{len(standings)} standings, expected {MAX_ROLLOUT_STATUSES} at most")
     values = (
         *place,
         Status(status),
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -435,10 +435,10 @@
             if attempt.task is None or attempt.is_tallied or attempt.answered_at:
                 continue
             is_cold = attempt.started_at < self.state.warm_at
-            limit = tally.slow_after(call.typical_ms / 1000, call.aim_ms / 1000, is_cold)
+            limit = tally.slow_threshold(call.typical_ms / 1000, call.aim_ms / 1000, is_cold)
             if now - attempt.started_at > limit:
                 attempt.is_tallied = True
-                tally.note(self.counts_by_route, call.route, True)
+                tally.record(self.counts_by_route, call.route, True)
 
     def _tally(self, attempt: GateAttempt, failure: Failure | None, now: float) -> None:
         """Count what became of an attempt, where that tells of its server."""
@@ -448,9 +448,11 @@
         held, typical = answered_at - attempt.started_at, attempt.call.typical_ms / 1000
         is_cold = attempt.started_at < self.state.warm_at
         aim = attempt.call.aim_ms / 1000
-        bad = tally.is_bad(tally.Ended(failure, attempt.status, held, typical, aim, is_cold))
+        bad = tally.is_bad(
+            tally.AttemptOutcome(failure, attempt.status, held, typical, aim, is_cold)
+        )
         if bad is not None:
-            tally.note(self.counts_by_route, attempt.call.route, bad)
+            tally.record(self.counts_by_route, attempt.call.route, bad)
 
     def _end(self, attempt: GateAttempt, failure: Failure | None) -> None:
         """Forget an attempt once the rest of its answer is sent, or at once where it failed."""
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -23,8 +23,8 @@
 from hornbeamgw.core.membership import Member
 from hornbeamgw.core.options import Settings, split_address
 from hornbeamgw.core.retry_budget import Bound, BudgetState
+from hornbeamgw.core.rollout_status import RolloutStatus
 from hornbeamgw.core.snapshot import Snapshot
-from hornbeamgw.core.standing import Standing
 from hornbeamgw.daemon import logs, loop, plugins, sources
 from hornbeamgw.daemon.admin import Admin
 from hornbeamgw.daemon.adoption import Adoption
@@ -199,7 +199,7 @@
         if self._own_row is not None:
             self._own_row.note_findings(kept)
 
-    def _publish_standings(self, standings: tuple[Standing, ...], is_urgent: bool) -> None:
+    def _publish_standings(self, standings: tuple[RolloutStatus, ...], is_urgent: bool) -> None:
         self.control.update_me(standings=standings)
         if is_urgent:
             self.control.announce_everywhere()
@@ -264,7 +264,7 @@
             self.quarantine.expire(loop.time())
             members = len(membership.reachable(self.control.view))
             retry_budget.note_members(self.budget, members)
-            exposure.note_members(self.rollouts.state, members)
+            exposure.record_fleet_size(self.rollouts.state, members)
 
     async def _report_loop(self, metrics: StatsdReport) -> None:
         while True:
--- a/hornbeamgw/daemon/reader.py
+++ b/hornbeamgw/daemon/reader.py
@@ -20,7 +20,7 @@
     is_reader,
     top,
 )
-from hornbeamgw.core.rollout import LEADERS
+from hornbeamgw.core.rollout import LEADER_COUNT
 from hornbeamgw.daemon import frames
 from hornbeamgw.daemon.control import Control
 from hornbeamgw.daemon.directory import Directory
@@ -188,7 +188,7 @@
     def leaders(self, service: str) -> list[Member]:
         """Return the readers that lead a rollout of a service, the first one first."""
         readers = all_readers(self._living(), self._in_all())
-        return top(f"rollout {service}", readers, LEADERS)
+        return top(f"rollout {service}", readers, LEADER_COUNT)
 
     def rank(self, service: str) -> int | None:
         """Return the rank of this daemon among those that lead a rollout, None for none."""
--- a/hornbeamgw/daemon/rollouts/leader.py
+++ b/hornbeamgw/daemon/rollouts/leader.py
@@ -10,11 +10,11 @@
 
 from hornbeamgw.backends.base import PlatformError
 from hornbeamgw.backends.rows import RowPage, RowStore, StoredRow
-from hornbeamgw.core import evidence, membership, rollout
+from hornbeamgw.core import canary_analysis, membership, rollout
 from hornbeamgw.core.balancing import serving
 from hornbeamgw.core.membership import Member, server_key, with_each_server
-from hornbeamgw.core.rollout import LAG_S, Order, RolloutState, Seen, Step
-from hornbeamgw.core.standing import Phase, Standing
+from hornbeamgw.core.rollout import LEADER_LAG_S, FleetView, Order, RolloutState, Step
+from hornbeamgw.core.rollout_status import Phase, RolloutStatus
 from hornbeamgw.core.tally import Tally
 from hornbeamgw.daemon.rollouts.orders import OrderRows
 from hornbeamgw.daemon.rollouts.rollouts import Rollouts
@@ -101,18 +101,18 @@
         state = RolloutState(order, self._rollouts.state.bound, now)
         log.info("order read", extra=order._asdict())
         self._led_by_service[order.service] = _Led(state, row_state, era)
-        known = self._rollouts.state.standings_by_version.get((order.service, order.target))
+        known = self._rollouts.state.status_by_version.get((order.service, order.target))
         self._has_work.set()
-        if known is not None and rollout.hear(state, known, now):
+        if known is not None and rollout.receive(state, known, now):
             return
-        self._rollouts.hear(state.standing)
+        self._rollouts.hear(state.status)
         if self._rank_of(order.service) is not None:
-            self._rollouts.tell(state.standing, is_urgent=True)
+            self._rollouts.tell(state.status, is_urgent=True)
             self._spawn(self._look_up(order.service, state))
 
     def _on_withdrawn(self, service: str) -> None:
         led = self._led_by_service.get(service)
-        if led is not None and not led.state.standing.is_final:
+        if led is not None and not led.state.status.is_final:
             log.info("order withdrawn", extra={"service": service})
             self._tell(led.state, _decided_step(led.state, Phase.BACK, "withdrawn"))
 
@@ -123,16 +123,16 @@
         except PlatformError as error:
             log.info("status not read", extra={"service": service, "error": str(error)})
             return
-        if decided is not None and not state.standing.is_final:
+        if decided is not None and not state.status.is_final:
             self._tell(state, _decided_step(state, decided, "it was decided before"))
 
     def on_era(self, era: int) -> None:
         """Write down again what a store that came back from a copy may have lost."""
         for service, led in self._led_by_service.items():
             rank = self._rank_of(service)
-            is_told = led.state.standing.is_final or led.state.standing.phase is not Phase.HELD
+            is_told = led.state.status.is_final or led.state.status.phase is not Phase.HELD
             if rank is not None and is_told and service not in self._deciding:
-                self._record(led.state, wait=rank * LAG_S)
+                self._record(led.state, wait=rank * LEADER_LAG_S)
 
     # Evidence
 
@@ -143,17 +143,17 @@
             return
         now = asyncio.get_running_loop().time()
         server = f"{sender}/{tally.server}" if tally.server else sender
-        evidence.take(led.state.evidence, server, tally, now)
+        canary_analysis.record_tally(led.state.analysis, server, tally, now)
 
-    def _on_heard(self, standing: Standing) -> None:
+    def _on_heard(self, standing: RolloutStatus) -> None:
         led = self._led_by_service.get(standing.service)
         if led is None:
             return
         now = asyncio.get_running_loop().time()
         rank = self._rank_of(standing.service)
-        if rollout.hear(led.state, standing, now) and standing.is_final and rank is not None:
+        if rollout.receive(led.state, standing, now) and standing.is_final and rank is not None:
             self._rollouts.tell(standing, is_urgent=False)
-            self._record(led.state, wait=(rank + 1) * LAG_S)
+            self._record(led.state, wait=(rank + 1) * LEADER_LAG_S)
 
     # Steps
 
@@ -174,22 +174,22 @@
         rank = self._rank_of(service)
         if rank is None or service in self._deciding:
             return
-        if not self._rollouts.tells(state.standing):
+        if not self._rollouts.tells(state.status):
             # Whoever joins hears of it also where those who led before are gone.
-            self._rollouts.tell(state.standing, is_urgent=False)
-        state.lag = rank * LAG_S
+            self._rollouts.tell(state.status, is_urgent=False)
+        state.lag_s = rank * LEADER_LAG_S
         now = asyncio.get_running_loop().time()
         seen = self._seen(state, now)
         step = rollout.next_step(state, seen, now)
         if step is None:
             return
-        if step.standing.phase is Phase.DONE and seen.before:
+        if step.status.phase is Phase.DONE and seen.old_servers:
             # The servers of before are stopped once it is written, so it is told only then.
             self._record(state, step)
         else:
             self._tell(state, step)
 
-    def _seen(self, state: RolloutState, now: float) -> Seen:
+    def _seen(self, state: RolloutState, now: float) -> FleetView:
         service, target = state.order.service, state.order.target
         members = [m for m in self._members() if m.status is not membership.Status.LEFT]
         alive = [m for m in members if m.status is not membership.Status.DEAD]
@@ -202,23 +202,23 @@
             if m.service == service and m.software != target
         ]
         is_reached = now - self._reached_at <= REACHED_WITHIN_S
-        return Seen(new, before, is_reached, max((m.slots for m in of_target), default=1))
+        return FleetView(new, before, is_reached, max((m.slots for m in of_target), default=1))
 
     def _tell(self, state: RolloutState, step: Step) -> None:
         now = asyncio.get_running_loop().time()
-        rollout.take(state, step.standing, now)
+        rollout.apply(state, step.status, now)
         self._log(state, step, now)
-        self._rollouts.tell(step.standing, is_urgent=True)
-        if step.standing.phase is Phase.TRIAL or step.standing.is_final:
+        self._rollouts.tell(step.status, is_urgent=True)
+        if step.status.phase is Phase.TRIAL or step.status.is_final:
             self._record(state)
 
     def _log(self, state: RolloutState, step: Step, now: float) -> None:
         told: dict[str, Any] = {"service": state.order.service, "target": state.order.target}
-        told |= {"phase": step.standing.phase.name.lower(), "why": step.why}
-        told |= {"step": step.standing.step, "length_ms": step.standing.length_ms}
-        told |= {"closing": step.standing.closing.name.lower()}
-        told |= {"after_s": round(now - state.heard_at, 2), "against": step.against}
-        told |= {"new": state.evidence.new, "before": state.evidence.before}
+        told |= {"phase": step.status.phase.name.lower(), "why": step.reason}
+        told |= {"step": step.status.step, "length_ms": step.status.length_ms}
+        told |= {"closing": step.status.closing.name.lower()}
+        told |= {"after_s": round(now - state.received_at, 2), "against": step.degradation}
+        told |= {"new": state.analysis.new, "before": state.analysis.old}
         log.info("rollout step", extra=told)
 
     # Status
@@ -256,7 +256,7 @@
         await asyncio.sleep(wait)
         failures = 0
         while True:
-            standing = state.standing if step is None else step.standing
+            standing = state.status if step is None else step.status
             try:
                 decided = await self._statuses.write(standing, self._place(standing.service))
                 break
@@ -268,15 +268,15 @@
                     return  # The next tick decides anew, by what is known then.
             ceiling = min(RECORD_RETRY_MAX_S, RECORD_RETRY_S * 2**failures)
             await asyncio.sleep(self._rng.uniform(ceiling / 2, ceiling))
-        if decided >= Phase.BACK and not state.standing.is_final:
-            why = "it was decided before" if step is None else step.why
+        if decided >= Phase.BACK and not state.status.is_final:
+            why = "it was decided before" if step is None else step.reason
             self._tell(state, _decided_step(state, decided, why))
 
 
 def _decided_step(state: RolloutState, phase: Phase, why: str) -> Step:
-    held = state.standing
+    held = state.status
     return Step(held._replace(phase=phase, step=held.step + 1), why)
 
 
 def _is_open(led: _Led) -> bool:
-    return not led.state.standing.is_final
+    return not led.state.status.is_final
--- a/hornbeamgw/daemon/rollouts/rollouts.py
+++ b/hornbeamgw/daemon/rollouts/rollouts.py
@@ -11,12 +11,12 @@
 from hornbeamgw.core import exposure
 from hornbeamgw.core.exposure import ExposureBound, ExposureState
 from hornbeamgw.core.membership import Member
-from hornbeamgw.core.standing import MOST_STANDINGS, Standing
+from hornbeamgw.core.rollout_status import MAX_ROLLOUT_STATUSES, RolloutStatus
 
 log = logging.getLogger(__name__)
 
 # What one's record carries, and whether all must hear at once.
-Publish = Callable[[tuple[Standing, ...], bool], None]
+Publish = Callable[[tuple[RolloutStatus, ...], bool], None]
 
 
 class Rollouts:
@@ -26,25 +26,25 @@
         """Take what a version on trial may get, and what carries standings to the others."""
         self.state = ExposureState(bound)
         self.counts: Counter[str] = Counter()
-        self.on_heard: list[Callable[[Standing], None]] = []
+        self.on_heard: list[Callable[[RolloutStatus], None]] = []
         self._publish = publish
-        self._told_by_version: dict[tuple[str, str], Standing] = {}
+        self._told_by_version: dict[tuple[str, str], RolloutStatus] = {}
 
     def hear_member(self, member: Member) -> None:
         """Take the standings in the record of a daemon."""
         for standing in member.standings:
             self._hear(standing, member.address)
 
-    def hear(self, standing: Standing) -> None:
+    def hear(self, standing: RolloutStatus) -> None:
         """Take how a rollout stands, as it was read."""
         self._hear(standing, "the platform")
 
-    def tells(self, standing: Standing) -> bool:
+    def tells(self, standing: RolloutStatus) -> bool:
         """Return whether this daemon's own record tells of a standing."""
         return standing in self._told_by_version.values()
 
-    def _hear(self, standing: Standing, source: str) -> bool:
-        if not exposure.hear(self.state, standing, asyncio.get_running_loop().time()):
+    def _hear(self, standing: RolloutStatus, source: str) -> bool:
+        if not exposure.receive(self.state, standing, asyncio.get_running_loop().time()):
             return False
         self.counts[f"heard.{standing.phase.name.lower()}"] += 1
         log.info("rollout", extra={**_told(standing), "told_by": source})
@@ -52,17 +52,17 @@
             callback(standing)
         return True
 
-    def tell(self, standing: Standing, is_urgent: bool) -> None:
+    def tell(self, standing: RolloutStatus, is_urgent: bool) -> None:
         """Tell the fleet how a rollout stands, in this daemon's own record."""
         self._hear(standing, "this daemon")
-        latest = self.state.standings_by_version[standing.service, standing.target]
+        latest = self.state.status_by_version[standing.service, standing.target]
         self._told_by_version[standing.service, standing.target] = latest
         newest = sorted(self._told_by_version.values(), key=lambda told: told.number)
-        kept = newest[-MOST_STANDINGS:]
+        kept = newest[-MAX_ROLLOUT_STATUSES:]
         self._told_by_version = {(told.service, told.target): told for told in kept}
         self._publish(tuple(kept), is_urgent)
 
-    def undecided(self, service: str) -> Standing | None:
+    def undecided(self, service: str) -> RolloutStatus | None:
         """Return how the rollout of a service stands, None where there is none to decide."""
         current = self.state.current_by_service.get(service)
         return None if current is None or current.is_final else current
@@ -74,14 +74,14 @@
     def describe(self) -> list[dict[str, Any]]:
         """Return each rollout as this daemon sees it, and what it has sent there itself."""
         rows = []
-        for version, standing in self.state.standings_by_version.items():
-            spent = self.state.spent_by_version[version]
+        for version, standing in self.state.status_by_version.items():
+            spent = self.state.counts_by_version[version]
             told = {"reached": spent.reached, "sent": spent.sent}
             told |= {"answers": spent.answers, "bad": spent.bad}
             rows.append({**_told(standing), **told})
         return rows
 
 
-def _told(standing: Standing) -> dict[str, Any]:
+def _told(standing: RolloutStatus) -> dict[str, Any]:
     named = {"phase": standing.phase.name.lower(), "closing": standing.closing.name.lower()}
     return {**standing._asdict(), **named}
--- a/hornbeamgw/daemon/rollouts/statuses.py
+++ b/hornbeamgw/daemon/rollouts/statuses.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from hornbeamgw.backends.rows import RowStore, StoredRow
-from hornbeamgw.core.standing import Phase, Standing
+from hornbeamgw.core.rollout_status import Phase, RolloutStatus
 from hornbeamgw.daemon.rollouts.orders import PROGRESS_BY_PHASE, OrderRows, Progress, Status
 
 log = logging.getLogger(__name__)
@@ -36,7 +36,7 @@
         row, era = await self._read(order.service)
         return self._decided(order, row, era)
 
-    async def write(self, standing: Standing, order: OrderPlace) -> Phase:
+    async def write(self, standing: RolloutStatus, order: OrderPlace) -> Phase:
         """Write how an order stands unless another was decided before; return what holds then."""
         progress = PROGRESS_BY_PHASE.get(standing.phase, Progress.RUNNING)
         wanted = Status(progress, standing.target)
--- a/hornbeamgw/daemon/servers.py
+++ b/hornbeamgw/daemon/servers.py
@@ -96,16 +96,16 @@
         if serving is None:
             serving = balancing.serving(view.members, service)
             self._serving_by_service[service] = serving
-            exposure.note_seen(self._exposed, service, {m.software for m in serving}, now)
+            exposure.record_versions(self._exposed, service, {m.software for m in serving}, now)
         if arm is Arm.BEFORE:
-            found = exposure.servers_before(self._exposed, service, serving, now)
+            found = exposure.servers_in_use(self._exposed, service, serving, now)
             if len(found) < len(serving):
                 self._found_until = now + NEWCOMERS_AGAIN_S
             return found
         found = exposure.new_servers(self._exposed, service, serving)
         if arm is Arm.TURN:
             current = self._exposed.current_by_service[service]
-            return exposure.on_turn(found, exposure.turn_of(current), time.time())
+            return exposure.servers_on_turn(found, exposure.turn_seconds(current), time.time())
         return found
 
     def _load(self, member: Member, now: float) -> Load:
@@ -129,8 +129,10 @@
             return Arm.BEFORE
         length = self.traits_of(call).service
         idempotent = call.route.idempotent
-        asked = exposure.Asked(call.service, length, not call.placed, idempotent, has_waited)
-        return exposure.arm_of(self._exposed, asked, time.time(), self._rng)
+        asked = exposure.RequestTraits(
+            call.service, length, not call.placed, idempotent, has_waited
+        )
+        return exposure.select_arm(self._exposed, asked, time.time(), self._rng)
 
     async def _awaited_arm(self, call: Call) -> Arm:
         """Return among which servers one is chosen, waiting while there should be none."""
--- a/hornbeamgw/testing/rollout_model.py
+++ b/hornbeamgw/testing/rollout_model.py
@@ -13,12 +13,12 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from hornbeamgw.core import evidence, exposure, rollout, tally
-from hornbeamgw.core.exposure import Arm, Asked, ExposureBound, ExposureState
+from hornbeamgw.core import canary_analysis, exposure, rollout, tally
+from hornbeamgw.core.exposure import Arm, ExposureBound, ExposureState, RequestTraits
 from hornbeamgw.core.membership import Member, server_key
-from hornbeamgw.core.rollout import LAG_S, Order, RolloutState, Seen
-from hornbeamgw.core.standing import Closing, Phase, Standing
-from hornbeamgw.core.tally import Count, Ended, Tally
+from hornbeamgw.core.rollout import LEADER_LAG_S, FleetView, Order, RolloutState
+from hornbeamgw.core.rollout_status import Closing, Phase, RolloutStatus
+from hornbeamgw.core.tally import AttemptOutcome, Count, Tally
 from hornbeamgw.core.verdict import Failure, Reason, may_have_run
 
 SERVICE, OLD, NEW = "roster", "v1", "v2"
@@ -148,7 +148,7 @@
         self._sequence = 0
         self.states = [ExposureState(BOUND) for _ in range(load.daemons)]
         for state in self.states:
-            exposure.note_members(state, load.daemons)
+            exposure.record_fleet_size(state, load.daemons)
         speeds = [self.rng.choice((0.6, 1.0, 1.4)) for _ in range(load.servers)]
         started = self.rng.uniform(0.2, 1.5)
         self.old = [_Server(f"o{i}", OLD, s, -60.0) for i, s in enumerate(speeds)]
@@ -156,7 +156,8 @@
         self._draw_faults()
         order = Order(SERVICE, NEW, duration, 1)
         self.leaders = [
-            RolloutState(order, BOUND, 0.01, rank * LAG_S) for rank in range(rollout.LEADERS)
+            RolloutState(order, BOUND, 0.01, rank * LEADER_LAG_S)
+            for rank in range(rollout.LEADER_COUNT)
         ]
         self.written: Phase | None = None
         self.decided_at = math.inf
@@ -184,7 +185,7 @@
     def run(self) -> Outcome:
         """Play the order to its end and a while longer."""
         for leader in self.leaders:
-            self._tell(leader.standing)
+            self._tell(leader.status)
         self._at(0.0, self._arrive)
         self._at(0.0, self._tick)
         if self.trouble.daemons_restart:
@@ -229,14 +230,16 @@
         self, state: ExposureState, route: int, is_first: bool, has_waited: bool = False
     ) -> Arm:
         is_idempotent = route not in self.load.unsafe_routes
-        asked = Asked(SERVICE, self.load.routes[route][1], is_first, is_idempotent, has_waited)
-        return exposure.arm_of(state, asked, self.now, self.rng)
+        asked = RequestTraits(
+            SERVICE, self.load.routes[route][1], is_first, is_idempotent, has_waited
+        )
+        return exposure.select_arm(state, asked, self.now, self.rng)
 
     def _chosen(self, state: ExposureState, arm: Arm) -> _Server | None:
         new = self._up(self.new)
         if arm is Arm.TURN and new:
-            turn_s = exposure.turn_of(state.current_by_service[SERVICE])
-            turn = exposure.on_turn([s.member for s in new], turn_s, self.now)
+            turn_s = exposure.turn_seconds(state.current_by_service[SERVICE])
+            turn = exposure.servers_on_turn([s.member for s in new], turn_s, self.now)
             new = [s for s in new if s.member in turn]
         if arm in (Arm.TURN, Arm.NEW) and new:
             return self._idler(new)
@@ -266,7 +269,7 @@
         may_wait = self.now < since + WAIT_PART * DEADLINE_S
         server = None if arm is Arm.WAIT and may_wait else self._chosen(state, arm)
         if server is not None and self._is_closed(server):
-            exposure.note_sent(state, SERVICE, server.member.software)
+            exposure.record_sent(state, SERVICE, server.member.software)
             server, refusals = None, refusals + 1
         is_placed = server is not None and server.running < self.load.slots
         if not is_placed and may_wait and refusals < MAX_REFUSALS:
@@ -278,7 +281,7 @@
             return
         if self.now > since:
             self.waits.append(self.now - since)
-        exposure.note_sent(state, SERVICE, server.member.software)
+        exposure.record_sent(state, SERVICE, server.member.software)
         self._begin(daemon, server, route, True)
 
     def _send(self, daemon: int, route: int, is_first: bool) -> None:
@@ -289,7 +292,7 @@
         server = self._chosen(state, self._arm(state, route, is_first))
         if server is None:
             return
-        exposure.note_sent(state, SERVICE, server.member.software)
+        exposure.record_sent(state, SERVICE, server.member.software)
         if server.running >= self.load.slots:
             # The gate has no room and says so; the servers of before take it.
             if is_first:
@@ -305,7 +308,7 @@
         is_idempotent = route not in self.load.unsafe_routes
         server.unsafe += not is_idempotent
         run = _Run(daemon, server, route, self.now, failure, is_first, is_idempotent)
-        limit = tally.slow_after(work, AIM_FACTOR * work, run.is_cold)
+        limit = tally.slow_threshold(work, AIM_FACTOR * work, run.is_cold)
         self._at(self.now + limit, lambda: self._look_overdue(run))
         self._at(self.now + held, lambda: self._finish(run))
 
@@ -358,7 +361,7 @@
     def _look_overdue(self, run: _Run) -> None:
         if not run.is_over:
             run.is_tallied = True
-            tally.note(run.server.counts_by_route, f"r-{run.route}", True)
+            tally.record(run.server.counts_by_route, f"r-{run.route}", True)
 
     def _finish(self, run: _Run) -> None:
         run.is_over = True
@@ -372,13 +375,13 @@
             self.unsafe_cut_off += not run.is_idempotent and is_in_time
             failure = BROKE
         state = self.states[daemon]
-        exposure.note_reached(state, SERVICE)
-        exposure.note_answer(state, SERVICE, server.member.software, failure is not None)
+        exposure.record_reached(state, SERVICE)
+        exposure.record_answer(state, SERVICE, server.member.software, failure is not None)
         work = self.load.routes[route][1]
         held = self.now - run.started
-        bad = tally.is_bad(Ended(failure, 200, held, work, AIM_FACTOR * work, run.is_cold))
+        bad = tally.is_bad(AttemptOutcome(failure, 200, held, work, AIM_FACTOR * work, run.is_cold))
         if bad is not None and not run.is_tallied and not server.is_stopped:
-            tally.note(server.counts_by_route, f"r-{route}", bad)
+            tally.record(server.counts_by_route, f"r-{route}", bad)
         if failure is not None and run.is_first and run.is_idempotent:
             self._send(daemon, route, False)
 
@@ -388,7 +391,7 @@
         delay = self.rng.uniform(*WORD_S)
         return delay if self.rng.random() >= LOST else delay + self.rng.uniform(0.2, GOSSIP_S)
 
-    def _tell(self, standing: Standing) -> None:
+    def _tell(self, standing: RolloutStatus) -> None:
         for index in range(len(self.states)):
             self._at(self.now + self._delay(), lambda i=index: self._hear(i, standing))  # type: ignore[misc]
         for leader in self.leaders:
@@ -397,19 +400,19 @@
                 lambda to=leader: self._hear_as_leader(to, standing),  # type: ignore[misc]
             )
 
-    def _hear_as_leader(self, leader: RolloutState, standing: Standing) -> None:
-        rollout.hear(leader, standing, self.now)
+    def _hear_as_leader(self, leader: RolloutState, standing: RolloutStatus) -> None:
+        rollout.receive(leader, standing, self.now)
 
-    def _hear(self, daemon: int, standing: Standing) -> None:
-        exposure.hear(self.states[daemon], standing, self.now)
+    def _hear(self, daemon: int, standing: RolloutStatus) -> None:
+        exposure.receive(self.states[daemon], standing, self.now)
 
     def _restart_daemons(self) -> None:
         count = round(self.trouble.daemons_restart * len(self.states))
         for index in self.rng.sample(range(len(self.states)), count):
             fresh = ExposureState(BOUND)
-            exposure.note_members(fresh, len(self.states))
-            for standing in self.states[index].standings_by_version.values():
-                exposure.hear(fresh, standing, self.now)
+            exposure.record_fleet_size(fresh, len(self.states))
+            for standing in self.states[index].status_by_version.values():
+                exposure.receive(fresh, standing, self.now)
             self.states[index] = fresh
 
     # Leaders
@@ -442,24 +445,26 @@
                 )
 
     def _take(self, leader: RolloutState, server: str, sent: Tally) -> None:
-        evidence.take(leader.evidence, server, sent, self.now)
+        canary_analysis.record_tally(leader.analysis, server, sent, self.now)
 
     def _lead(self, leader: RolloutState) -> None:
         is_away = self._away_at <= self.now <= self._away_at + AWAY_S
         new = [server_key(s.member) for s in self._up(self.new)]
         before = [server_key(s.member) for s in self._up(self.old)]
-        step = rollout.next_step(leader, Seen(new, before, not is_away, self.load.slots), self.now)
+        step = rollout.next_step(
+            leader, FleetView(new, before, not is_away, self.load.slots), self.now
+        )
         if step is None:
             return
-        if step.standing.phase is Phase.DONE:
+        if step.status.phase is Phase.DONE:
             if is_away:
                 return
             if self.written is not None:
-                step = step._replace(standing=step.standing._replace(phase=self.written))
-        rollout.take(leader, step.standing, self.now)
-        if step.standing.is_final:
-            self._decide(step.standing.phase)
-        self._tell(step.standing)
+                step = step._replace(status=step.status._replace(phase=self.written))
+        rollout.apply(leader, step.status, self.now)
+        if step.status.is_final:
+            self._decide(step.status.phase)
+        self._tell(step.status)
 
     def _decide(self, phase: Phase) -> None:
         if self.written is not None:
@@ -481,5 +486,5 @@
     model = RolloutModel(load, badness, trouble, duration, seed)
     outcome = model.run()
     is_over = outcome.exposed > model.bound_at_end()
-    seen = model.leaders[0].evidence
-    return outcome._replace(is_over_bound=is_over), {"new": seen.new, "before": seen.before}
+    seen = model.leaders[0].analysis
+    return outcome._replace(is_over_bound=is_over), {"new": seen.new, "before": seen.old}
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -92,22 +92,22 @@
     Mutant(
         "a version on trial gets no more than its part",
         "hornbeamgw/core/exposure.py",
-        (("    return spent.sent + rng.random() <= allowed", "    return True"),),
+        (("    return counts.sent + rng.random() <= allowed", "    return True"),),
         ROLLOUTS,
     ),
     Mutant(
         "what was decided on a rollout is not undone by a later word",
-        "hornbeamgw/core/standing.py",
-        (("decided = standing.phase if standing.is_final else 0", "decided = 0"),),
+        "hornbeamgw/core/rollout_status.py",
+        (("decided = status.phase if status.is_final else 0", "decided = 0"),),
         ROLLOUTS,
     ),
     Mutant(
         "a version that answers worse is taken back",
-        "hornbeamgw/core/evidence.py",
+        "hornbeamgw/core/canary_analysis.py",
         (
             (
-                "    return found\n\n\ndef has_enough",
-                "    return Suspicion(0.0)\n\n\ndef has_enough",
+                "    return found\n\n\ndef has_enough_answers",
+                "    return Degradation(0.0)\n\n\ndef has_enough_answers",
             ),
         ),
         ROLLOUTS,
@@ -127,13 +127,13 @@
     Mutant(
         "an order is completed only once servers of before are drained",
         "hornbeamgw/core/rollout.py",
-        (("    return tally.closed_step == state.standing.step", "    return True"),),
+        (("    return tally.closed_step == state.status.step", "    return True"),),
         ROLLOUTS,
     ),
     Mutant(
         "a version without an order waits for one",
         "hornbeamgw/core/exposure.py",
-        (("    return is_later and now < seen + NEWCOMER_S", "    return False"),),
+        (("    return is_later and now < seen + NEW_VERSION_HOLD_S", "    return False"),),
         ROLLOUTS,
     ),
     Mutant(
@@ -204,7 +204,7 @@
     Mutant(
         "a run of a server that was followed by a later one never comes back",
         "hornbeamgw/core/registration.py",
-        (("if now - state.heard_at < LATE_WITHIN_S:", "if False:"),),
+        (("if now - state.received_at < LATE_HEARTBEAT_WINDOW_S:", "if False:"),),
         REBORN,
     ),
     Mutant(
--- a/properties/runs_machine.py
+++ b/properties/runs_machine.py
@@ -89,7 +89,7 @@
             registration.retire(self.state, told.instance, told.started_ms)
             self.left.add(_Run(told.instance, told.started_ms))
             return
-        if registration.take(self.state, told, self.now_ms / 1000):
+        if registration.receive(self.state, told, self.now_ms / 1000):
             run = _Run(told.instance, told.started_ms)
             assert told.started_ms >= self.latest_taken, "an earlier run came back"
             assert run not in self.left, "a run that left came back"
