--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -35,7 +35,7 @@
 @given("a daemon of a fleet of {daemons:d} that may expose {share:g} of the requests and {slack:d} more")  # fmt: skip  # noqa: E501
 def one_daemon(context, daemons, share, slack):
     context.state = ExposureState(ExposureBound(share, slack))
-    exposure.record_fleet_size(context.state, daemons)
+    exposure.note_members(context.state, daemons)
     context.number, context.step = 1, 0
     context.rng = random.Random(1)
 
@@ -266,17 +266,17 @@
 
 @given("reports of a new server: {first:d} answers, {second:d} answers, then {third:d} after it has started again")  # fmt: skip  # noqa: E501
 def reports(context, first, second, third):
-    context.evidence = AnalysisState("v2")
+    context.canary_analysis = AnalysisState("v2")
     for now, answers in enumerate((first, second, third)):
         counts = {"r-0": Count(answers, 0)}
         canary_analysis.record_tally(
-            context.evidence, "n0", Tally(SERVICE, 0, "v2", counts), float(now)
+            context.canary_analysis, "n0", Tally(SERVICE, 0, "v2", counts), float(now)
         )
 
 
 @then("{answers:d} answers of the new version were seen")
 def seen(context, answers):
-    assert context.evidence.new.answers == answers, context.evidence.new
+    assert context.canary_analysis.new.answers == answers, context.canary_analysis.new
 
 
 # A gate whose server is about to stop
@@ -414,10 +414,12 @@
 def leader_due(context):
     order = Order(SERVICE, "v2", DUE_S, 1)
     context.leading = RolloutState(order, ExposureBound(0.1, 50.0), 0.0)
-    canary_analysis.record_tally(context.leading.analysis, "n3/2", Tally(SERVICE, 2, "v2", {}), 0.0)
+    canary_analysis.record_tally(
+        context.leading.canary_analysis, "n3/2", Tally(SERVICE, 2, "v2", {}), 0.0
+    )
     good = {"r-0": Count(200, 0)}
     canary_analysis.record_tally(
-        context.leading.analysis, "n3/2", Tally(SERVICE, 2, "v2", good), 5.0
+        context.leading.canary_analysis, "n3/2", Tally(SERVICE, 2, "v2", good), 5.0
     )
     context.seen = FleetView(["n3/2"], BEFORE, True)
     context.now = 0.0
@@ -437,7 +439,7 @@
 def tell_leader(context, server, closed_step, unsafe):
     counts = {"r-0": Count(100, 0)}
     told = Tally(SERVICE, 1, "v1", counts, closed_step, unsafe)
-    canary_analysis.record_tally(context.leading.analysis, server, told, context.now)
+    canary_analysis.record_tally(context.leading.canary_analysis, server, told, context.now)
 
 
 @then("it completes the order only after both have told that they hold no booking")
--- a/hornbeamgw/core/canary_analysis.py
+++ b/hornbeamgw/core/canary_analysis.py
@@ -174,7 +174,7 @@
     return excess / math.sqrt(max(0.0, variance) + EXTRA_VARIANCE)
 
 
-def degradation(state: AnalysisState, servers: Collection[str], now: float) -> Degradation:
+def measure_degradation(state: AnalysisState, servers: Collection[str], now: float) -> Degradation:
     """Return how far the version answers worse; the servers are those that run it."""
     _expire_recent(state, now)
     faulty = 0 if len(servers) < 2 else math.ceil(FAULTY_SERVER_RATIO * len(servers))
--- a/hornbeamgw/core/exposure.py
+++ b/hornbeamgw/core/exposure.py
@@ -105,7 +105,7 @@
     return True
 
 
-def record_fleet_size(state: ExposureState, fleet_size: int) -> None:
+def note_members(state: ExposureState, fleet_size: int) -> None:
     """Note the size of the fleet; the largest ever seen divides the slack."""
     state.fleet_size = max(state.fleet_size, fleet_size)
 
--- a/hornbeamgw/core/registration.py
+++ b/hornbeamgw/core/registration.py
@@ -125,13 +125,13 @@
     known = _latest_run(state, heartbeat.instance, heartbeat.started_ms)
     if _is_late(state, heartbeat, known, now):
         return False
-    is_draining = known.is_draining or heartbeat.state is ServerState.DRAINING
-    if is_draining:
+    draining = known.is_draining or heartbeat.state is ServerState.DRAINING
+    if draining:
         heartbeat = heartbeat._replace(state=ServerState.DRAINING)
     _store_run(
         state,
         heartbeat.instance,
-        _KnownRun(heartbeat.started_ms, heartbeat.sequence, is_draining, False),
+        _KnownRun(heartbeat.started_ms, heartbeat.sequence, draining, False),
     )
     state.current = heartbeat
     state.received_at = now
--- a/hornbeamgw/core/rollout.py
+++ b/hornbeamgw/core/rollout.py
@@ -92,7 +92,7 @@
     """Hold a standing to be told, why, and what speaks against the version."""
 
     status: RolloutStatus
-    reason: str
+    why: str
     degradation: Degradation = Degradation(0.0)
 
 
@@ -105,7 +105,7 @@
         self.bound = bound
         self.received_at = now
         self.lag_s = lag_s
-        self.analysis = AnalysisState(order.target)
+        self.canary_analysis = AnalysisState(order.target)
         self.status = RolloutStatus(order.service, order.target, order.number, Phase.HELD)
         self.last_step_at = now
         self.decision_due_at = now + order.duration - _decision_margin(order.duration)
@@ -137,7 +137,7 @@
     return min(DECISION_MARGIN_S, DECISION_MARGIN_RATIO * duration)
 
 
-def receive(state: RolloutState, received: RolloutStatus, now: float) -> bool:
+def hear(state: RolloutState, received: RolloutStatus, now: float) -> bool:
     """Take what another leader has told of this order; return whether it was news."""
     if received.number != state.order.number or not supersedes(received, state.status):
         return False
@@ -155,20 +155,20 @@
 def _make_step(
     state: RolloutState,
     phase: Phase,
-    reason: str,
+    why: str,
     length_ms: int = MOVE_NONE_MS,
     closing: Closing = Closing.OPEN,
 ) -> Step:
     held = state.status
     step = held.step + 1
-    return Step(held._replace(phase=phase, step=step, length_ms=length_ms, closing=closing), reason)
+    return Step(held._replace(phase=phase, step=step, length_ms=length_ms, closing=closing), why)
 
 
 def next_step(state: RolloutState, fleet: FleetView, now: float) -> Step | None:
     """Return the next step where it is time for one."""
     if state.status.is_final:
         return None
-    degradation = canary_analysis.degradation(state.analysis, fleet.new_servers, now)
+    degradation = canary_analysis.measure_degradation(state.canary_analysis, fleet.new_servers, now)
     if degradation.deviations >= ROLLBACK_DEVIATIONS:
         return _make_step(state, Phase.BACK, "answers worse")._replace(degradation=degradation)
     step = _next_timed_step(state, fleet, degradation, now - state.lag_s)
@@ -209,12 +209,14 @@
 def _request_rate(state: RolloutState, at: float) -> float:
     """Return how many requests (1/s) reach the service."""
     elapsed_s = max(1.0, at - state.received_at)
-    return max(1.0, (state.analysis.old.answers + state.analysis.new.answers) / elapsed_s)
+    return max(
+        1.0, (state.canary_analysis.old.answers + state.canary_analysis.new.answers) / elapsed_s
+    )
 
 
 def _turn_ms(state: RolloutState, fleet: FleetView, at: float) -> int:
     """Return how long (ms) a turn lasts, in which a server gets all that was saved up for it."""
-    if not state.analysis.old.answers:
+    if not state.canary_analysis.old.answers:
         return round(MIN_TURN_S * 1000)
     rate = _request_rate(state, at)
     allowed, on_trial = _allowed_requests(state, max(1.0, state.order.duration), rate)
@@ -235,7 +237,9 @@
 
 
 def _step_from_trial(state: RolloutState, degradation: Degradation, at: float) -> Step | None:
-    if at >= state.decision_due_at and not canary_analysis.has_enough_answers(state.analysis):
+    if at >= state.decision_due_at and not canary_analysis.has_enough_answers(
+        state.canary_analysis
+    ):
         return _make_step(state, Phase.BACK, "too few answers were seen")
     if at < state.decision_due_at - full_move_seconds(state, at) - MOVE_SCHEDULE[0][0]:
         return None
@@ -267,7 +271,7 @@
         return _make_step(state, Phase.MOVING, "more requests move", length_ms, closing)
     if at < state.decision_due_at or at < state.last_step_at + MIN_FULL_MOVE_S / 2:
         return None
-    if not canary_analysis.has_enough_answers(state.analysis):
+    if not canary_analysis.has_enough_answers(state.canary_analysis):
         return _make_step(state, Phase.BACK, "too few answers were seen")
     if (
         degradation.deviations >= DOUBT_DEVIATIONS
@@ -291,7 +295,7 @@
 
 def _is_drained(state: RolloutState, server: str) -> bool:
     """Return whether a server has told that it is closed and holds no such request."""
-    tally = state.analysis.tallies_by_server.get(server)
+    tally = state.canary_analysis.tallies_by_server.get(server)
     if tally is None or tally.unsafe:
         return False
     return tally.closed_step == state.status.step
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -264,7 +264,7 @@
             self.quarantine.expire(loop.time())
             members = len(membership.reachable(self.control.view))
             retry_budget.note_members(self.budget, members)
-            exposure.record_fleet_size(self.rollouts.state, members)
+            exposure.note_members(self.rollouts.state, members)
 
     async def _report_loop(self, metrics: StatsdReport) -> None:
         while True:
--- a/hornbeamgw/daemon/rollouts/leader.py
+++ b/hornbeamgw/daemon/rollouts/leader.py
@@ -103,7 +103,7 @@
         self._led_by_service[order.service] = _Led(state, row_state, era)
         known = self._rollouts.state.status_by_version.get((order.service, order.target))
         self._has_work.set()
-        if known is not None and rollout.receive(state, known, now):
+        if known is not None and rollout.hear(state, known, now):
             return
         self._rollouts.hear(state.status)
         if self._rank_of(order.service) is not None:
@@ -143,7 +143,7 @@
             return
         now = asyncio.get_running_loop().time()
         server = f"{sender}/{tally.server}" if tally.server else sender
-        canary_analysis.record_tally(led.state.analysis, server, tally, now)
+        canary_analysis.record_tally(led.state.canary_analysis, server, tally, now)
 
     def _on_heard(self, standing: RolloutStatus) -> None:
         led = self._led_by_service.get(standing.service)
@@ -151,7 +151,7 @@
             return
         now = asyncio.get_running_loop().time()
         rank = self._rank_of(standing.service)
-        if rollout.receive(led.state, standing, now) and standing.is_final and rank is not None:
+        if rollout.hear(led.state, standing, now) and standing.is_final and rank is not None:
             self._rollouts.tell(standing, is_urgent=False)
             self._record(led.state, wait=(rank + 1) * LEADER_LAG_S)
 
@@ -214,11 +214,11 @@
 
     def _log(self, state: RolloutState, step: Step, now: float) -> None:
         told: dict[str, Any] = {"service": state.order.service, "target": state.order.target}
-        told |= {"phase": step.status.phase.name.lower(), "why": step.reason}
+        told |= {"phase": step.status.phase.name.lower(), "why": step.why}
         told |= {"step": step.status.step, "length_ms": step.status.length_ms}
         told |= {"closing": step.status.closing.name.lower()}
         told |= {"after_s": round(now - state.received_at, 2), "against": step.degradation}
-        told |= {"new": state.analysis.new, "before": state.analysis.old}
+        told |= {"new": state.canary_analysis.new, "before": state.canary_analysis.old}
         log.info("rollout step", extra=told)
 
     # Status
@@ -256,20 +256,20 @@
         await asyncio.sleep(wait)
         failures = 0
         while True:
-            standing = state.status if step is None else step.status
+            status = state.status if step is None else step.status
             try:
-                decided = await self._statuses.write(standing, self._place(standing.service))
+                decided = await self._statuses.write(status, self._place(status.service))
                 break
             except PlatformError as error:
                 failures += 1
-                told = {"service": standing.service, "error": str(error), "try": failures}
+                told = {"service": status.service, "error": str(error), "try": failures}
                 log.info("status not written", extra=told)
                 if step is not None:
                     return  # The next tick decides anew, by what is known then.
             ceiling = min(RECORD_RETRY_MAX_S, RECORD_RETRY_S * 2**failures)
             await asyncio.sleep(self._rng.uniform(ceiling / 2, ceiling))
         if decided >= Phase.BACK and not state.status.is_final:
-            why = "it was decided before" if step is None else step.reason
+            why = "it was decided before" if step is None else step.why
             self._tell(state, _decided_step(state, decided, why))
 
 
--- a/hornbeamgw/testing/rollout_model.py
+++ b/hornbeamgw/testing/rollout_model.py
@@ -148,7 +148,7 @@
         self._sequence = 0
         self.states = [ExposureState(BOUND) for _ in range(load.daemons)]
         for state in self.states:
-            exposure.record_fleet_size(state, load.daemons)
+            exposure.note_members(state, load.daemons)
         speeds = [self.rng.choice((0.6, 1.0, 1.4)) for _ in range(load.servers)]
         started = self.rng.uniform(0.2, 1.5)
         self.old = [_Server(f"o{i}", OLD, s, -60.0) for i, s in enumerate(speeds)]
@@ -401,7 +401,7 @@
             )
 
     def _hear_as_leader(self, leader: RolloutState, standing: RolloutStatus) -> None:
-        rollout.receive(leader, standing, self.now)
+        rollout.hear(leader, standing, self.now)
 
     def _hear(self, daemon: int, standing: RolloutStatus) -> None:
         exposure.receive(self.states[daemon], standing, self.now)
@@ -410,7 +410,7 @@
         count = round(self.trouble.daemons_restart * len(self.states))
         for index in self.rng.sample(range(len(self.states)), count):
             fresh = ExposureState(BOUND)
-            exposure.record_fleet_size(fresh, len(self.states))
+            exposure.note_members(fresh, len(self.states))
             for standing in self.states[index].status_by_version.values():
                 exposure.receive(fresh, standing, self.now)
             self.states[index] = fresh
@@ -445,7 +445,7 @@
                 )
 
     def _take(self, leader: RolloutState, server: str, sent: Tally) -> None:
-        canary_analysis.record_tally(leader.analysis, server, sent, self.now)
+        canary_analysis.record_tally(leader.canary_analysis, server, sent, self.now)
 
     def _lead(self, leader: RolloutState) -> None:
         is_away = self._away_at <= self.now <= self._away_at + AWAY_S
@@ -486,5 +486,5 @@
     model = RolloutModel(load, badness, trouble, duration, seed)
     outcome = model.run()
     is_over = outcome.exposed > model.bound_at_end()
-    seen = model.leaders[0].analysis
+    seen = model.leaders[0].canary_analysis
     return outcome._replace(is_over_bound=is_over), {"new": seen.new, "before": seen.old}
