--- a/hornbeamgw/core/rollout.py
+++ b/hornbeamgw/core/rollout.py
@@ -1,18 +1,19 @@
-"""Rollout: leads an operator's order to move a service's requests to servers of a new version.
-
-First the new version is tried with a small part of the requests, beside the servers of before. When
-the order is due, requests are moved, those that take longest first, so that few still run at the
-servers of before when these are stopped; that is kept short, since a version that fails only under
-load is met here. What speaks against the version at any time takes it back at once.
-
-Servers of before are stopped without draining, so they are drained before the order is completed.
-Requests that are not idempotent are kept from them some time ahead of the decision, within the
-bound. Once the version is found good all requests go to it, and the order is completed as soon as
-no such request is left at the servers of before, or its deadline is near.
-
-Several daemons lead at the same time, one behind the other by a lag. Each takes over what another
-has told, so that one that is gone, cut off or slow is made up for by the next; only a word against
-the version is never delayed.
+"""Rollout leader: moves a service's requests to servers of a new version on an operator's order.
+
+A rollout starts with a trial, in which the new version gets a small share of the requests. Shortly
+before the order is due, all requests are moved, the longest first, so that few are still running on
+the old servers when these are stopped. The full move is kept short, since it may be the first time
+that the version runs under full load. If the version answers worse than the old one, the rollout is
+rolled back at once.
+
+Old servers are stopped without draining, so they are drained before the order is completed.
+Requests that are not idempotent are withheld from the old servers shortly before the decision, as
+far as the exposure bound allows. Once the version is accepted, all requests go to it. The order is
+completed when no such request is left on the old servers, or when its deadline is near.
+
+Several daemons lead a rollout at the same time, each delayed by a lag that grows with its rank. A
+leader adopts the steps that other leaders have published, so a leader that fails or is partitioned
+is replaced by the next one. Only a rollback because of bad answers is not delayed by the lag.
 """
 
 from __future__ import annotations
@@ -39,36 +40,40 @@
 
 LEADER_COUNT = 2
 LEADER_LAG_S = 0.4
-# The decision is written down so long (s) before it is due, or this part of a short order.
+# Time between the decision and the order's deadline; the ratio of the duration for short orders.
 DECISION_MARGIN_S = 1.0
 DECISION_MARGIN_RATIO = 0.15
-# How long (s) before all requests those are moved that take at least so long (ms): so few of them
-# are still at work at the servers of before when those are stopped.
+# (lead time in s, request length in ms): requests expected to take at least this length are moved
+# this long before all others, so that few still run on the old servers when these are stopped.
 MOVE_SCHEDULE = ((1.1, 1000), (0.5, 500), (0.2, 200), (0.0, 0))
-# Requests that are not idempotent are kept from the servers of before for so long (s) ahead of the
-# decision, or this part of a short order. What is left from there to the deadline comes to it.
+# Requests that are not idempotent are withheld from the old servers this long before the decision;
+# the ratio of the duration for short orders.
 CLOSE_LEAD_S = 1.5
 CLOSE_LEAD_RATIO = 0.15
-# This part of the margin is left when an order is completed though such requests still run.
+# Fraction of the decision margin at which an order is completed even if such requests still run.
 COMPLETION_MARGIN_RATIO = 0.3
-# Where the deadline has passed, as the platform was away, they are waited for so long (s).
+# Time allowed for draining if the deadline passed while the platform was unreachable.
 LATE_DRAIN_S = 1.7
-# All requests are moved for as long (s) as what is left of the bound lasts, within these limits.
+# Limits of the time during which all requests are moved before the decision; the remaining exposure
+# bound determines the actual time.
 MIN_FULL_MOVE_S = 0.6
 MAX_FULL_MOVE_S = 2.0
-# A turn of a server on trial brings it so many requests for each of its slots.
+# Requests per slot that a server receives in its trial turn.
 BURST_REQUESTS_PER_SLOT = 2.0
 MAX_TURN_S = 6.0
-# A turn is told anew where it should be so many times as long.
+# The turn length is published again when it should be this many times longer.
 TURN_UPDATE_FACTOR = 1.5
-# A decision waits for so many seconds (s) where something speaks against the version.
+# Time for which a rollback is delayed while the evidence against the version is inconclusive.
 DOUBT_GRACE_S = 0.6
-# The servers of a fleet that has just started are not all known before.
+# Time until the membership list of a fleet that has just started is considered complete.
 MEMBERSHIP_SETTLE_S = 1.0
 
 
 class Order(NamedTuple):
-    """Hold an operator's order; its duration is in seconds, and numbers rise with each order."""
+    """Operator's order to roll out a version.
+
+    The duration is in seconds. Later orders have higher numbers.
+    """
 
     service: str
     target: str
@@ -77,9 +82,9 @@
 
 
 class FleetView(NamedTuple):
-    """Hold what decides on the next step: the servers of both versions, and the platform.
+    """Fleet state from which the next step is determined.
 
-    The slots are those of a server of the new version.
+    Servers are given by their keys; `slots` is the number of slots of a server of the new version.
     """
 
     new_servers: Collection[str]
@@ -89,7 +94,7 @@
 
 
 class Step(NamedTuple):
-    """Hold a standing to be told, why, and what speaks against the version."""
+    """Next status to publish, the reason for it, and how much worse the version answers."""
 
     status: RolloutStatus
     why: str
@@ -97,10 +102,13 @@
 
 
 class RolloutState:
-    """Hold one order as one of those who lead it sees it."""
+    """State of one order at one of its leaders."""
 
     def __init__(self, order: Order, bound: ExposureBound, now: float, lag_s: float = 0.0) -> None:
-        """Take the order, its bound, when it was heard, and the lag (s) behind other leaders."""
+        """Create the state of an order that was received at `now`, by the event loop's clock.
+
+        `lag_s` is the delay in seconds behind the first leader.
+        """
         self.order = order
         self.bound = bound
         self.received_at = now
@@ -112,12 +120,12 @@
 
     @property
     def deadline(self) -> float:
-        """Return by when (s) the order is to be decided."""
+        """Time by which the order must be decided, in seconds of the event loop's clock."""
         return self.received_at + self.order.duration
 
 
 def full_move_seconds(state: RolloutState, at: float) -> float:
-    """Return how long (s) all requests can be sent to the new version within the bound."""
+    """Return the seconds for which the bound allows all requests to go to the new version."""
     allowed, on_trial = _allowed_requests(
         state, max(1.0, at - state.received_at), _request_rate(state, at)
     )
@@ -127,7 +135,7 @@
 
 
 def _allowed_requests(state: RolloutState, elapsed_s: float, rate: float) -> tuple[float, float]:
-    """Return how many requests may be sent within some time (s), and how many on trial."""
+    """Return how many requests the new version may get in `elapsed_s`, in total and on trial."""
     slack = USABLE_SLACK_RATIO * state.bound.slack
     allowed = USABLE_SHARE_RATIO * state.bound.share * elapsed_s * rate + slack
     return allowed, trial_allowance(allowed, slack)
@@ -138,7 +146,7 @@
 
 
 def hear(state: RolloutState, received: RolloutStatus, now: float) -> bool:
-    """Take what another leader has told of this order; return whether it was news."""
+    """Adopt a status from another leader; return whether it supersedes the current one."""
     if received.number != state.order.number or not supersedes(received, state.status):
         return False
     state.status = received
@@ -147,7 +155,7 @@
 
 
 def apply(state: RolloutState, status: RolloutStatus, now: float) -> None:
-    """Take a step that this leader tells."""
+    """Set the status that this leader publishes."""
     state.status = status
     state.last_step_at = now
 
@@ -165,7 +173,7 @@
 
 
 def next_step(state: RolloutState, fleet: FleetView, now: float) -> Step | None:
-    """Return the next step where it is time for one."""
+    """Return the next step if one is due, or None."""
     if state.status.is_final:
         return None
     degradation = canary_analysis.measure_degradation(state.canary_analysis, fleet.new_servers, now)
@@ -207,7 +215,7 @@
 
 
 def _request_rate(state: RolloutState, at: float) -> float:
-    """Return how many requests (1/s) reach the service."""
+    """Return the service's answers per second since the order was received, at least 1."""
     elapsed_s = max(1.0, at - state.received_at)
     return max(
         1.0, (state.canary_analysis.old.answers + state.canary_analysis.new.answers) / elapsed_s
@@ -215,7 +223,7 @@
 
 
 def _turn_ms(state: RolloutState, fleet: FleetView, at: float) -> int:
-    """Return how long (ms) a turn lasts, in which a server gets all that was saved up for it."""
+    """Return the length in ms of a trial turn, long enough for a burst that fills the slots."""
     if not state.canary_analysis.old.answers:
         return round(MIN_TURN_S * 1000)
     rate = _request_rate(state, at)
@@ -226,7 +234,7 @@
 
 
 def _while_platform_unreachable(state: RolloutState, at: float) -> Step | None:
-    """Wait for the platform: a decision that can't be written down moves no requests."""
+    """Postpone the decision and return to the trial, as no decision can be stored."""
     soonest = at + MIN_FULL_MOVE_S
     usual = at + full_move_seconds(state, at) + MOVE_SCHEDULE[0][0]
     latest = max(soonest, min(usual, state.deadline - DOUBT_GRACE_S / 2))
@@ -253,14 +261,14 @@
 
 
 def _length_threshold_ms(state: RolloutState, at: float) -> int:
-    """Return the length (ms) from which on requests are moved now."""
+    """Return the expected length in ms at or above which requests are moved now."""
     left = state.decision_due_at - at - full_move_seconds(state, at)
     lengths = [length_ms for lead, length_ms in MOVE_SCHEDULE if left <= lead]
     return min(lengths, default=MOVE_NONE_MS)
 
 
 def _closing_at(state: RolloutState, at: float) -> Closing:
-    """Return what the servers of before are given now, ahead of the decision."""
+    """Return which requests the old servers still receive shortly before the decision."""
     ahead = min(CLOSE_LEAD_S, CLOSE_LEAD_RATIO * state.order.duration)
     return Closing.IDEMPOTENT if at >= state.decision_due_at - ahead else Closing.OPEN
 
@@ -282,7 +290,7 @@
 
 
 def _step_from_closed(state: RolloutState, fleet: FleetView, at: float) -> Step | None:
-    """Complete the order once the servers of before may be stopped."""
+    """Complete the order when the old servers may be stopped."""
     if all(_is_drained(state, server) for server in fleet.old_servers):
         return _make_step(state, Phase.DONE, "the servers of before are drained")
     left = COMPLETION_MARGIN_RATIO * _decision_margin(state.order.duration)
@@ -294,7 +302,7 @@
 
 
 def _is_drained(state: RolloutState, server: str) -> bool:
-    """Return whether a server has told that it is closed and holds no such request."""
+    """Return whether a server reported for this step that no non-idempotent request runs there."""
     tally = state.canary_analysis.tallies_by_server.get(server)
     if tally is None or tally.unsafe:
         return False
@@ -302,7 +310,7 @@
 
 
 def _roll_back_in_doubt(state: RolloutState, at: float) -> Step | None:
-    """Wait a little for what speaks for the version, then take it back."""
+    """Roll back after a grace period in which the evidence may still improve."""
     if at < min(state.decision_due_at + DOUBT_GRACE_S, state.deadline - DOUBT_GRACE_S / 2):
         return None
     return _make_step(state, Phase.BACK, "answers seem to be worse")
--- a/hornbeamgw/core/rollout_status.py
+++ b/hornbeamgw/core/rollout_status.py
@@ -1,41 +1,44 @@
-"""Standing: how far a rollout has come, as records of daemons tell it."""
+"""Rollout status: the progress of a rollout, as daemons publish it in their membership records."""
 
 from __future__ import annotations
 
 import enum
 from typing import NamedTuple
 
-# Services that are rolled out at once are few; a record stays within one datagram.
+# Limits the size of a membership record, which must fit into one datagram.
 MAX_ROLLOUT_STATUSES = 8
+# Value of `length_ms` at which no requests are moved.
 MOVE_NONE_MS = 0xFFFF
 
 
 class Phase(enum.IntEnum):
-    """Say where the requests for a service go while a version of it is rolled out."""
+    """Destination of a service's requests during a rollout."""
 
-    HELD = 0  # to the servers of before alone
-    TRIAL = 1  # a small part to the new version
-    MOVING = 2  # the longest requests to the new version, then all
-    BACK = 3  # for good to the servers of before
-    DONE = 4  # for good to the new version
+    HELD = 0  # old servers only
+    TRIAL = 1  # a small share to the new version
+    MOVING = 2  # the longest requests to the new version, then all requests
+    BACK = 3  # rolled back: old servers only
+    DONE = 4  # completed: new version only
 
 
 class Closing(enum.IntEnum):
-    """Say what servers of before are still given while requests are moving.
+    """Requests that old servers still receive in the MOVING phase.
 
-    A request that is not idempotent is lost to its caller if the server stops beneath it.
+    A request that is not idempotent can't be retried if its server is stopped while it runs.
     """
 
-    OPEN = 0  # what is not moved
-    IDEMPOTENT = 1  # no other; those go to the new version, or wait where the bound leaves no room
-    CLOSED = 2  # none, as the new version was found good; what runs goes on to its end
+    OPEN = 0  # all requests that are not moved
+    IDEMPOTENT = (
+        1  # idempotent ones only; others go to the new version or wait if the bound is exhausted
+    )
+    CLOSED = 2  # no new requests, since the new version was accepted; running ones finish
 
 
 class RolloutStatus(NamedTuple):
-    """Hold how far an order has come; the step rises with each change.
+    """Progress of an order; `step` increases with each change.
 
-    While requests are moving, those that are expected to take at least the length (ms) are moved;
-    during a trial it is how long servers have their turn.
+    In the MOVING phase, `length_ms` is the expected length at or above which requests are moved. In
+    the TRIAL phase it is the length of a turn.
     """
 
     service: str
@@ -48,16 +51,16 @@
 
     @property
     def is_final(self) -> bool:
-        """Return whether the order is decided."""
+        """Whether the order is completed or rolled back."""
         return self.phase >= Phase.BACK
 
 
 def _rank(status: RolloutStatus) -> tuple[int, int, int]:
-    """Rank what is told of one order: what is decided wins, and what was written down most."""
+    """Return the precedence: newer orders first, then final phases (DONE highest), then steps."""
     decided = status.phase if status.is_final else 0
     return status.number, decided, status.step
 
 
 def supersedes(received: RolloutStatus, held: RolloutStatus | None) -> bool:
-    """Return whether a standing takes the place of the one held for the same version."""
+    """Return whether a received status replaces the one held for the same version."""
     return held is None or _rank(received) > _rank(held)
