--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 
 from benchmarks.report import emit, register, say
-from hornbeamgw.core.rollout_status import Phase
+from hornbeamgw.core.standing import Phase
 from hornbeamgw.testing.rollout_model import Badness, Load, Outcome, Trouble, play
 
 RUNS = int(os.environ.get("RUNS", "200"))
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -11,14 +11,14 @@
 from behave import given, then, when
 
 from benchmarks.rollouts import LOADS, TAIL_LOADS, TROUBLES, badness_of
-from hornbeamgw.core import canary_analysis, exposure, rollout, tally
-from hornbeamgw.core.canary_analysis import AnalysisState
+from hornbeamgw.core import evidence, exposure, rollout, tally
+from hornbeamgw.core.evidence import EvidenceState
 from hornbeamgw.core.exposure import Arm, ExposureBound, ExposureState, RequestTraits
 from hornbeamgw.core.membership import Member, ServerState
 from hornbeamgw.core.node import Envelope
 from hornbeamgw.core.rollout import FleetView, Order, RolloutState
-from hornbeamgw.core.rollout_status import Closing, Phase, RolloutStatus
 from hornbeamgw.core.snapshot import EMPTY, Limits
+from hornbeamgw.core.standing import Closing, Phase, RolloutStatus
 from hornbeamgw.core.tally import AttemptOutcome, Count, Tally
 from hornbeamgw.core.verdict import Reason, Verdict, may_have_run, not_run
 from hornbeamgw.daemon import codec, datagrams, frames
@@ -266,17 +266,15 @@
 
 @given("reports of a new server: {first:d} answers, {second:d} answers, then {third:d} after it has started again")  # fmt: skip  # noqa: E501
 def reports(context, first, second, third):
-    context.canary_analysis = AnalysisState("v2")
+    context.evidence = EvidenceState("v2")
     for now, answers in enumerate((first, second, third)):
         counts = {"r-0": Count(answers, 0)}
-        canary_analysis.record_tally(
-            context.canary_analysis, "n0", Tally(SERVICE, 0, "v2", counts), float(now)
-        )
+        evidence.record_tally(context.evidence, "n0", Tally(SERVICE, 0, "v2", counts), float(now))
 
 
 @then("{answers:d} answers of the new version were seen")
 def seen(context, answers):
-    assert context.canary_analysis.new.answers == answers, context.canary_analysis.new
+    assert context.evidence.new.answers == answers, context.evidence.new
 
 
 # A gate whose server is about to stop
@@ -414,13 +412,9 @@
 def leader_due(context):
     order = Order(SERVICE, "v2", DUE_S, 1)
     context.leading = RolloutState(order, ExposureBound(0.1, 50.0), 0.0)
-    canary_analysis.record_tally(
-        context.leading.canary_analysis, "n3/2", Tally(SERVICE, 2, "v2", {}), 0.0
-    )
+    evidence.record_tally(context.leading.evidence, "n3/2", Tally(SERVICE, 2, "v2", {}), 0.0)
     good = {"r-0": Count(200, 0)}
-    canary_analysis.record_tally(
-        context.leading.canary_analysis, "n3/2", Tally(SERVICE, 2, "v2", good), 5.0
-    )
+    evidence.record_tally(context.leading.evidence, "n3/2", Tally(SERVICE, 2, "v2", good), 5.0)
     context.seen = FleetView(["n3/2"], BEFORE, True)
     context.now = 0.0
     while context.leading.status.closing is not Closing.CLOSED:
@@ -439,7 +433,7 @@
 def tell_leader(context, server, closed_step, unsafe):
     counts = {"r-0": Count(100, 0)}
     told = Tally(SERVICE, 1, "v1", counts, closed_step, unsafe)
-    canary_analysis.record_tally(context.leading.canary_analysis, server, told, context.now)
+    evidence.record_tally(context.leading.evidence, server, told, context.now)
 
 
 @then("it completes the order only after both have told that they hold no booking")
--- a/hornbeamgw/core/canary_analysis.py
+++ b/hornbeamgw/core/evidence.py
@@ -1,11 +1,11 @@
-"""Evidence: whether a new version of a service answers worse than the servers of before.
-
-The daemon beside a server counts what became of the requests that ran there, route by route. Each
-count of the new version is set against what is seen at the servers of before at the same time: how
-many answers would be bad if the versions were alike. What lies beyond that is measured in standard
-deviations, over all that was seen and over the last seconds, for a version may turn bad later; over
-all routes and for each, for it may be bad on one alone. A server can be slow or broken by itself,
-so the few that did worst count no more than the next.
+"""Evidence: canary analysis, whether a new version of a service answers worse than the old one.
+
+The daemon next to each server counts good and bad answers per route. The counts of the new version
+are compared with a baseline: the ratio of bad answers of the old servers at the same time. The
+excess of bad answers is expressed in standard deviations, both since the start and over the last
+seconds, as a version may turn bad later, and both per route and over all routes, as it may be bad
+on one route only. A server may be slow or broken by itself, so the excess of the few worst servers
+is capped at that of the next worst.
 """
 
 from __future__ import annotations
@@ -17,32 +17,35 @@
 
 from hornbeamgw.core.tally import Count, Tally
 
-# So many standard deviations condemn a version at once; it is looked at many times a second.
+# A version is rolled back at once at this many standard deviations. The threshold is high because
+# it is checked many times a second.
 ROLLBACK_DEVIATIONS = 5.0
-# At the decision, which is made once, so many are too many to go on.
+# Limit at the decision, which is made once.
 DOUBT_DEVIATIONS = 2.0
-# Of few servers one may be all that met what the version fails at, so at the decision one more of
-# the worst counts in full; so many are too many then.
+# Limit at the decision when one more of the worst servers is counted without a cap: among few
+# servers, a single one may be the only one that received the failing requests.
 DOUBT_DEVIATIONS_WITH_ONE_MORE = 2.25
-# Of many routes one looks bad by chance more often.
+# Subtracted for single routes, as one of many routes is more likely to look bad by chance.
 ROUTE_ALLOWANCE_DEVIATIONS = 0.5
 MIN_BAD_RATIO = 0.02
 MAX_BAD_RATIO = 0.5
-# What is seen beside is forgotten within some seconds, since bursts and faults come and go.
+# The baseline decays quickly, since bursts and faults are transient.
 BASELINE_HALF_LIFE_S = 2.0
 BASELINE_PRIOR_ANSWERS = 40.0
 RECENT_S = 3.0
-# Servers that may be faulty by themselves, as a part of all that run the version.
+# Fraction of the version's servers that may be faulty for other reasons than the version.
 FAULTY_SERVER_RATIO = 0.15
-# Few answers scatter more than their variance says.
+# Added to the variance, which is too small an estimate for few answers.
 EXTRA_VARIANCE = 0.5
-# So many answers of the new version must have been seen before it can be called good.
+# Answers of the new version that are required to accept it.
 MIN_ANSWERS = 12
 
 ALL_ROUTES = ""
 
 
 class _Baseline:
+    """Exponentially decaying counts of the old servers' answers on one route."""
+
     def __init__(self, now: float) -> None:
         self.answers = 0.0
         self.bad = 0.0
@@ -56,17 +59,17 @@
 
 
 class _Sample(NamedTuple):
-    """Hold answers of one server on one route, and what was to be expected of them."""
+    """New answers of one server on one route, compared with the baseline."""
 
     at: float
     server: str
     route: str
-    excess: float  # bad answers more than expected
+    excess: float  # bad answers minus expected bad answers
     variance: float
 
 
 class _Sums:
-    """Hold sums for each route and server."""
+    """Sums of samples for each route and server."""
 
     def __init__(self) -> None:
         self.excess_by_route: dict[str, dict[str, float]] = {}
@@ -82,9 +85,9 @@
 
 
 class Degradation(NamedTuple):
-    """Hold how far a version answers worse, in standard deviations, and on which route.
+    """How much worse a version answers, in standard deviations, and on which route.
 
-    With one more is how far it is where one more of the worst servers counts in full.
+    `with_one_more` is the same with one more of the worst servers counted without a cap.
     """
 
     deviations: float
@@ -92,11 +95,11 @@
     with_one_more: float = -math.inf
 
 
-class AnalysisState:
-    """Hold what was reported of the servers of one service during one rollout."""
+class EvidenceState:
+    """Counts reported for the servers of one service during one rollout."""
 
     def __init__(self, target: str) -> None:
-        """Take the version that is rolled out."""
+        """Create an empty state for the rollout of the version `target`."""
         self.target = target
         self.new = Count()
         self.old = Count()
@@ -108,7 +111,7 @@
 
 
 def _count_since(now: Count, before: Count) -> Count:
-    """Return what was counted since; a count that fell was begun anew."""
+    """Return the increase of a count; a count that decreased has been reset."""
     if now.answers < before.answers or now.bad < before.bad:
         return now
     return Count(now.answers - before.answers, now.bad - before.bad)
@@ -118,13 +121,13 @@
     return Count(one.answers + other.answers, one.bad + other.bad)
 
 
-def record_tally(state: AnalysisState, server: str, tally: Tally, now: float) -> None:
-    """Take what was counted at a server; one that was lost is made up for by the next."""
+def record_tally(state: EvidenceState, server: str, tally: Tally, now: float) -> None:
+    """Record the cumulative counts of a server; a lost report is covered by the next."""
     held = state.tallies_by_server.get(server)
     known = {} if held is None or held.software != tally.software else held.counts_by_route
     state.tallies_by_server[server] = tally
     if held is None and tally.software != state.target:
-        return  # What was counted before the order came is no news.
+        return  # These answers may predate the order.
     for route, count in tally.counts_by_route.items():
         added = _count_since(count, known.get(route, Count()))
         if not added.answers:
@@ -139,8 +142,11 @@
                 baseline.add(added, now)
 
 
-def _baseline_bad_ratio(state: AnalysisState, route: str) -> float:
-    """Return which part of the answers on a route is bad beside; few answers say less than all."""
+def _baseline_bad_ratio(state: EvidenceState, route: str) -> float:
+    """Return the baseline ratio of bad answers on a route.
+
+    If the route has few answers, the ratio over all routes has more weight.
+    """
     overall = state.baselines_by_route.get(ALL_ROUTES)
     if overall is None:
         return MIN_BAD_RATIO
@@ -152,7 +158,7 @@
     return min(MAX_BAD_RATIO, max(MIN_BAD_RATIO, share))
 
 
-def _add_sample(state: AnalysisState, server: str, route: str, count: Count, now: float) -> None:
+def _add_sample(state: EvidenceState, server: str, route: str, count: Count, now: float) -> None:
     share = _baseline_bad_ratio(state, route)
     expected = count.answers * share
     added = _Sample(now, server, route, count.bad - expected, expected * (1 - share))
@@ -161,21 +167,21 @@
     state.recent.append(added)
 
 
-def _expire_recent(state: AnalysisState, now: float) -> None:
+def _expire_recent(state: EvidenceState, now: float) -> None:
     while state.recent and now - state.recent[0].at > RECENT_S:
         state.recent_sums.add(state.recent.popleft(), -1)
 
 
 def _deviations(excess_by_server: Mapping[str, float], variance: float, faulty: int) -> float:
-    """Return how far servers lie beyond what was seen beside, where some may be faulty."""
+    """Return the total excess in standard deviations, capped for the `faulty` worst servers."""
     ordered = sorted(excess_by_server.values())
     most = ordered[-1 - faulty] if faulty < len(ordered) else 0.0
     excess = sum(min(most, value) for value in ordered)
     return excess / math.sqrt(max(0.0, variance) + EXTRA_VARIANCE)
 
 
-def measure_degradation(state: AnalysisState, servers: Collection[str], now: float) -> Degradation:
-    """Return how far the version answers worse; the servers are those that run it."""
+def measure_degradation(state: EvidenceState, servers: Collection[str], now: float) -> Degradation:
+    """Return how much worse the version answers on the servers that run it."""
     _expire_recent(state, now)
     faulty = 0 if len(servers) < 2 else math.ceil(FAULTY_SERVER_RATIO * len(servers))
     fewer = max(0, faulty - 1)
@@ -192,6 +198,6 @@
     return found
 
 
-def has_enough_answers(state: AnalysisState) -> bool:
-    """Return whether so much was seen of the version that it can be called good."""
+def has_enough_answers(state: EvidenceState) -> bool:
+    """Return whether there are enough answers of the version to accept it."""
     return state.new.answers >= MIN_ANSWERS
--- a/hornbeamgw/core/exposure.py
+++ b/hornbeamgw/core/exposure.py
@@ -1,10 +1,10 @@
-"""Exposure: which requests of a service go to a version that isn't known to be good.
+"""Exposure: limits the requests that go to a version that hasn't been accepted yet.
 
-The bound holds for the whole fleet and without a coordinator: each daemon sends the new version a
-part of the requests that it has itself sent to servers of the service since it heard of the order,
-and its part of the slack. A daemon that hears nothing more goes on within that part, and one that
-has just started begins with nothing. So whoever leads the rollout, twice or not at all, can widen
-it no further than this.
+The bound holds for the whole fleet without a coordinator. Each daemon sends the new version at most
+a share of the requests that it has itself sent to servers of the service since it received the
+order, plus its part of the slack. A daemon that receives no further updates stays within this
+limit, and one that has just started begins at zero. So no leader can exceed the bound, even if
+several lead the rollout or none does.
 """
 
 from __future__ import annotations
@@ -16,42 +16,46 @@
 from typing import NamedTuple
 
 from hornbeamgw.core.membership import Member, server_key
-from hornbeamgw.core.rollout_status import Closing, Phase, RolloutStatus, supersedes
+from hornbeamgw.core.standing import Closing, Phase, RolloutStatus, supersedes
 
-# What is left unspent covers requests under way and daemons that hear of an order late.
+# Fractions of the bound that are used; the remainder covers requests in flight and daemons that
+# receive an order late.
 USABLE_SHARE_RATIO = 0.9
 USABLE_SLACK_RATIO = 0.7
-# The trial leaves the rest for the moment at which all requests move. It may have as many more as
-# the slack, up to the larger part: where requests are few, the moment shows little of how a version
-# bears load.
+# Fraction of the allowed requests that the trial may use; the rest is for the full move. The slack
+# is added up to the maximum: at a low request rate the full move shows little about how a version
+# behaves under load.
 TRIAL_RATIO = 0.4
 MAX_TRIAL_RATIO = 0.75
-# Servers on trial take turns, one of so many at a time, and in each turn the trial is open for a
-# short part (at least so many s) only: what was saved up for it comes at once and fills its slots,
-# so that a version that fails under load is met. Beside, a few requests go to any of them, so that
-# none stays idle until its turn comes.
+# Servers on trial take turns, one group at a time. In each turn the trial is open only for a
+# short time, so that the allowed requests arrive as a burst that fills the slots: a version that
+# fails under load is detected. A small fraction of requests goes to any server of the new version,
+# so that none is idle until its turn.
 TRIAL_GROUPS = 25
 TURN_OPEN_RATIO = 0.1
 MIN_OPEN_S = 0.2
 MIN_TURN_S = 0.5
 BACKGROUND_TRIAL_RATIO = 0.003
-# A version whose first server has just appeared waits so long (s) for word of an order.
+# Time for which servers of a version that has just appeared get no requests, as an order to roll it
+# out may follow.
 NEW_VERSION_HOLD_S = 1.0
-# A daemon stops by itself once so many answers of a version were bad, and most of them.
+# A daemon stops sending to a version after this many bad answers if they are the majority.
 BAD_ANSWERS_LIMIT = 6
 MAX_VERSIONS = 256
 
-Version = tuple[str, str]  # service and software
+Version = tuple[str, str]  # (service, software version)
 
 
 class ExposureBound(NamedTuple):
-    """Hold what a version on trial may get: a share of a service's requests and some more."""
+    """Limit of the requests to a version on trial: a share of all requests, plus a fixed slack."""
 
     share: float
     slack: float
 
 
 class _VersionCounts:
+    """Requests and answers of one version since the order with this number."""
+
     def __init__(self, number: int) -> None:
         self.number = number
         self.reached = 0
@@ -61,9 +65,10 @@
 
 
 class RequestTraits(NamedTuple):
-    """Hold what decides whether a request may try a version: its length (s), and if it is new.
+    """Properties of a request that determine its arm.
 
-    One that is not idempotent must not run at servers that are about to stop; it may have waited.
+    `length_s` is the expected service time in seconds. `has_waited` is whether a request that is
+    not idempotent has already been delayed because it must not run on servers about to be stopped.
     """
 
     service: str
@@ -74,10 +79,10 @@
 
 
 class ExposureState:
-    """Hold the standings that were heard of and what was sent to versions on trial."""
+    """Rollout statuses received by this daemon, and what it sent to versions on trial."""
 
     def __init__(self, bound: ExposureBound) -> None:
-        """Start without rollouts; take the bound for the whole fleet."""
+        """Create a state without rollouts; the bound applies to the whole fleet."""
         self.bound = bound
         self.fleet_size = 1
         self.status_by_version: dict[Version, RolloutStatus] = {}
@@ -89,7 +94,7 @@
 
 
 def receive(state: ExposureState, received: RolloutStatus, now: float) -> bool:
-    """Take a standing and return whether it is news."""
+    """Store a status; return whether it supersedes the one stored before."""
     version = received.service, received.target
     held = state.status_by_version.get(version)
     if not supersedes(received, held):
@@ -106,14 +111,14 @@
 
 
 def note_members(state: ExposureState, fleet_size: int) -> None:
-    """Note the size of the fleet; the largest ever seen divides the slack."""
+    """Record the number of daemons; the slack is divided by the largest number recorded."""
     state.fleet_size = max(state.fleet_size, fleet_size)
 
 
 def record_versions(
     state: ExposureState, service: str, versions: Collection[str], now: float
 ) -> None:
-    """Note which versions of a service have servers."""
+    """Record which versions of a service have servers."""
     for software in versions:
         state.first_seen_by_version.setdefault((service, software), now)
     while len(state.first_seen_by_version) > MAX_VERSIONS:
@@ -135,7 +140,7 @@
 
 
 def record_answer(state: ExposureState, service: str, software: str, is_bad: bool) -> None:
-    """Take what became of a request that was sent to a version."""
+    """Count an answer of a version."""
     counts = state.counts_by_version.get((service, software))
     if counts is not None:
         counts.answers += 1
@@ -149,7 +154,7 @@
 def _has_room(state: ExposureState, status: RolloutStatus, rng: random.Random) -> bool:
     """Return whether one more request may go to a version on trial.
 
-    What is allowed is mostly a fraction; rounding it by chance makes the fleet's sum exact.
+    The limit is rounded up or down at random, so that the fleet as a whole reaches its limit.
     """
     counts = state.counts_by_version[status.service, status.target]
     if _looks_bad(counts):
@@ -162,23 +167,23 @@
 
 
 def trial_allowance(allowed: float, slack: float) -> float:
-    """Return how many requests the trial may have of those that are allowed, slack included."""
+    """Return how many of the allowed requests, which include the slack, the trial may use."""
     return min(MAX_TRIAL_RATIO * allowed, TRIAL_RATIO * allowed + slack)
 
 
 class Arm(enum.Enum):
-    """Say among which servers of a service one is chosen."""
+    """Group of a service's servers from which the server for a request is selected."""
 
-    BEFORE = "before"  # those of versions in use
-    TURN = "turn"  # those of the new version whose turn it is to be tried
-    NEW = "new"  # all of the new version
-    WAIT = "wait"  # none yet: those of before are about to stop, and the bound leaves no room
+    BEFORE = "before"  # servers of versions in use
+    TURN = "turn"  # servers of the new version whose trial turn it is
+    NEW = "new"  # all servers of the new version
+    WAIT = "wait"  # none yet: old servers are about to be stopped and the bound is exhausted
 
 
 def select_arm(
-    state: ExposureState, request: RequestTraits, wall: float, rng: random.Random
+    state: ExposureState, request: RequestTraits, wall_time: float, rng: random.Random
 ) -> Arm:
-    """Return among which servers one is chosen for a request, by the time of day (s)."""
+    """Return the servers from which one is selected; `wall_time` is the Unix time in seconds."""
     current = state.current_by_service.get(request.service)
     if current is None or current.is_final or current.phase is Phase.HELD:
         return Arm.BEFORE
@@ -190,8 +195,8 @@
     if not request.is_first_attempt or not _has_room(state, current, rng):
         return Arm.BEFORE
     if current.phase is Phase.TRIAL:
-        turn = turn_seconds(current)
-        if wall % turn < max(MIN_OPEN_S, TURN_OPEN_RATIO * turn):
+        turn_s = turn_seconds(current)
+        if wall_time % turn_s < max(MIN_OPEN_S, TURN_OPEN_RATIO * turn_s):
             return Arm.TURN
         return Arm.NEW if rng.random() < BACKGROUND_TRIAL_RATIO else Arm.BEFORE
     return Arm.NEW if request.length_s * 1000 >= current.length_ms else Arm.BEFORE
@@ -200,10 +205,10 @@
 def _select_arm_for_unsafe(
     state: ExposureState, current: RolloutStatus, has_waited: bool, rng: random.Random
 ) -> Arm:
-    """Return where a request goes that the servers of before should no longer be given.
+    """Return the arm of a non-idempotent request shortly before the old servers are stopped.
 
-    One that waits asks many times, and by chance would each time get a little more of the bound; so
-    it gets none, and waits until it is known how the order goes on.
+    A waiting request is retried many times, and the random rounding would let it exceed the bound.
+    So after the first attempt it waits until the order is decided.
     """
     if not has_waited and _has_room(state, current, rng):
         return Arm.NEW
@@ -212,9 +217,9 @@
 
 
 def closed_step(state: ExposureState, service: str, software: str) -> int:
-    """Return the step at which servers of a version were closed, 0 where they are open.
+    """Return the rollout step at which servers of a version were closed, or 0 if they are open.
 
-    A closed server takes no further request that is not idempotent.
+    A closed server accepts no further request that is not idempotent.
     """
     current = state.current_by_service.get(service)
     if current is None or software == current.target or current.phase is not Phase.MOVING:
@@ -223,12 +228,12 @@
 
 
 def turn_seconds(status: RolloutStatus) -> float:
-    """Return how long (s) a turn of servers on trial lasts."""
+    """Return the length in seconds of a turn of servers on trial."""
     return max(MIN_TURN_S, status.length_ms / 1000)
 
 
 def new_servers(state: ExposureState, service: str, servers: Sequence[Member]) -> list[Member]:
-    """Return the servers of the version that is rolled out."""
+    """Return the servers of the version that is being rolled out."""
     current = state.current_by_service.get(service)
     return [] if current is None else [m for m in servers if m.software == current.target]
 
@@ -236,9 +241,9 @@
 def servers_in_use(
     state: ExposureState, service: str, servers: Sequence[Member], now: float
 ) -> list[Member]:
-    """Return the servers of versions in use: those that came before or after a rollout.
+    """Return the servers of versions that receive regular traffic.
 
-    Once a rollout is completed, its version is in use, and those that it replaced no longer are.
+    When a rollout is completed, its version is in use and the versions that it replaced are not.
     """
     usable = [m for m in servers if _is_in_use(state, service, m.software)]
     settled = [m for m in usable if not _awaits_order(state, service, m.software, usable, now)]
@@ -246,7 +251,7 @@
 
 
 def _is_in_use(state: ExposureState, service: str, software: str) -> bool:
-    """Return whether a version is in use as far as orders go."""
+    """Return whether no order excludes a version from regular traffic."""
     current = state.current_by_service.get(service)
     if current is not None and current.phase is Phase.DONE and software != current.target:
         seen = state.first_seen_by_version.get((service, software), math.inf)
@@ -267,14 +272,15 @@
     return is_later and now < seen + NEW_VERSION_HOLD_S
 
 
-def servers_on_turn(servers: Sequence[Member], turn: float, wall: float) -> list[Member]:
-    """Return the servers whose turn (of so many s) it is to be tried, by the time of day (s).
+def servers_on_turn(servers: Sequence[Member], turn_s: float, wall_time: float) -> list[Member]:
+    """Return the servers whose trial turn it is.
 
-    Daemons whose clocks differ try others, which only spreads the load more thinly.
+    `turn_s` is the length of a turn in seconds and `wall_time` the Unix time in seconds. Daemons
+    with different clocks select different servers, which only spreads the load more thinly.
     """
     if not servers:
         return []
     ordered = sorted(servers, key=server_key)
     width = math.ceil(len(ordered) / TRIAL_GROUPS)
-    first = int(wall / turn) * width
+    first = int(wall_time / turn_s) * width
     return [ordered[(first + index) % len(ordered)] for index in range(width)]
--- a/hornbeamgw/core/membership.py
+++ b/hornbeamgw/core/membership.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from hornbeamgw.core.finding import Finding
-from hornbeamgw.core.rollout_status import RolloutStatus
+from hornbeamgw.core.standing import RolloutStatus
 
 
 class Status(enum.IntEnum):
--- a/hornbeamgw/core/registration.py
+++ b/hornbeamgw/core/registration.py
@@ -1,10 +1,11 @@
-"""Registration: which backend server lives at an address beside this daemon, by its heartbeats.
-
-A heartbeat may arrive late, even after its sender has died and another took its place, also under
-the same name: what tells its runs apart is when each was started. Sequence numbers order the
-heartbeats of one run; a run that left, began to drain, or turned out to be replaced never comes
-back, and neither does one that was started before the run which lives here now. Servers that run
-side by side listen at addresses of their own; what was heard of each name is known at all of them.
+"""Registration: determines which backend server is running at an address, from its heartbeats.
+
+A heartbeat may arrive late, even after its sender has died and was replaced by another server,
+possibly with the same name. Runs of a server are distinguished by their start times, and sequence
+numbers order the heartbeats of one run. A run that left, started to drain, or was replaced is never
+registered as serving again, and neither is one that was started before the current run. Servers
+that run side by side listen on different addresses; what is known of each name is shared by all
+addresses.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 from hornbeamgw.core.membership import ServerState
 
 MAX_INSTANCES = 256
-# A heartbeat of another server that was started before the one heard last is a late one, unless
-# that has been silent for so long (s, four heartbeats): then a clock was set back between the two.
+# A heartbeat of a server that was started before the current one is late unless the current one has
+# been silent for this long (four heartbeats): then the clock was set back between the two starts.
 LATE_HEARTBEAT_WINDOW_S = 6.0
 
 
 class Heartbeat(NamedTuple):
-    """Hold one heartbeat of a backend server; warm-up in seconds.
+    """Heartbeat of a backend server; `warmup_s` is the remaining warm-up time in seconds.
 
-    When its run was started is in Unix milliseconds; 0 where it does not say.
+    `started_ms` is the start of its run in Unix milliseconds, or 0 if it isn't given.
     """
 
     instance: str
@@ -39,16 +40,17 @@
 
 
 class Departure(NamedTuple):
-    """Say that a run of a backend server leaves for good; 0 where it does not say which one."""
+    """Notice that a run of a backend server has ended; `started_ms` is 0 if the run isn't given."""
 
     instance: str
     started_ms: int = 0
 
 
 class Announcement(NamedTuple):
-    """Hold what a backend server says of itself, as the daemon beside it goes by it.
+    """Registration of a backend server at the daemon next to it.
 
-    It is taken for gone when it expires, and is slow until it is warm (both by the loop's clock).
+    The server counts as gone after `expires_at` and is slow until `warm_at`, both in seconds of the
+    event loop's clock.
     """
 
     service: str
@@ -64,18 +66,20 @@
 
 
 def is_same_run(before: Announcement | None, after: Announcement) -> bool:
-    """Return whether two announcements are of one run of one server."""
+    """Return whether two announcements are of the same run of the same server."""
     if before is None:
         return False
     return (before.instance, before.started_ms) == (after.instance, after.started_ms)
 
 
 def is_renewal(before: Announcement, after: Announcement) -> bool:
-    """Return whether an announcement says nothing new about the server."""
+    """Return whether only the expiry or the warm-up time has changed."""
     return before == after._replace(expires_at=before.expires_at, warm_at=before.warm_at)
 
 
 class _KnownRun(NamedTuple):
+    """Latest known run of an instance."""
+
     started_ms: int
     sequence: int
     is_draining: bool
@@ -87,10 +91,10 @@
 
 
 class RegistrationState:
-    """Hold the incarnation that is believed to live at an address, and those heard of before."""
+    """The run that is registered at an address, and the latest known run of each instance."""
 
     def __init__(self, known_runs_by_instance: KnownRunsByInstance | None = None) -> None:
-        """Start without a backend server; take what is known of those at other addresses."""
+        """Create a state without a server; known runs may be shared with other addresses."""
         self.current: Heartbeat | None = None
         self.received_at = -math.inf
         self.latest_started_ms = 0
@@ -108,7 +112,7 @@
 
 
 def _latest_run(state: RegistrationState, instance: str, started_ms: int) -> _KnownRun:
-    """Return what is known of a run, or of a later one of the same server."""
+    """Return what is known of a run, or of a later run of the same server."""
     known = state.known_runs_by_instance.get(instance, UNKNOWN_RUN)
     return known if started_ms <= known.started_ms else UNKNOWN_RUN._replace(started_ms=started_ms)
 
@@ -121,7 +125,7 @@
 
 
 def receive(state: RegistrationState, heartbeat: Heartbeat, now: float) -> bool:
-    """Take a heartbeat and return whether it tells anything new."""
+    """Process a heartbeat; return False if it is late."""
     known = _latest_run(state, heartbeat.instance, heartbeat.started_ms)
     if _is_late(state, heartbeat, known, now):
         return False
@@ -141,16 +145,16 @@
 
 
 def adopt(state: RegistrationState, heartbeat: Heartbeat, now: float) -> None:
-    """Take a server for the one that lives here, until it says anything itself."""
+    """Register a server as the current one until a heartbeat of a server arrives."""
     state.current = heartbeat
     state.received_at = now
     state.latest_started_ms = heartbeat.started_ms
 
 
 def retire(state: RegistrationState, instance: str, started_ms: int = 0) -> bool:
-    """Note that a run is gone, the last one known unless it says which.
+    """Record that a run has ended; without `started_ms`, the latest known run.
 
-    Return whether it was the one believed to live here.
+    Return whether it was the registered one.
     """
     known = state.known_runs_by_instance.get(instance, UNKNOWN_RUN)
     if 0 < started_ms < known.started_ms:
--- a/hornbeamgw/core/rollout.py
+++ b/hornbeamgw/core/rollout.py
@@ -21,13 +21,13 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
-from hornbeamgw.core import canary_analysis
-from hornbeamgw.core.canary_analysis import (
+from hornbeamgw.core import evidence
+from hornbeamgw.core.evidence import (
     DOUBT_DEVIATIONS,
     DOUBT_DEVIATIONS_WITH_ONE_MORE,
     ROLLBACK_DEVIATIONS,
-    AnalysisState,
     Degradation,
+    EvidenceState,
 )
 from hornbeamgw.core.exposure import (
     MIN_TURN_S,
@@ -36,7 +36,7 @@
     ExposureBound,
     trial_allowance,
 )
-from hornbeamgw.core.rollout_status import MOVE_NONE_MS, Closing, Phase, RolloutStatus, supersedes
+from hornbeamgw.core.standing import MOVE_NONE_MS, Closing, Phase, RolloutStatus, supersedes
 
 LEADER_COUNT = 2
 LEADER_LAG_S = 0.4
@@ -113,7 +113,7 @@
         self.bound = bound
         self.received_at = now
         self.lag_s = lag_s
-        self.canary_analysis = AnalysisState(order.target)
+        self.evidence = EvidenceState(order.target)
         self.status = RolloutStatus(order.service, order.target, order.number, Phase.HELD)
         self.last_step_at = now
         self.decision_due_at = now + order.duration - _decision_margin(order.duration)
@@ -176,7 +176,7 @@
     """Return the next step if one is due, or None."""
     if state.status.is_final:
         return None
-    degradation = canary_analysis.measure_degradation(state.canary_analysis, fleet.new_servers, now)
+    degradation = evidence.measure_degradation(state.evidence, fleet.new_servers, now)
     if degradation.deviations >= ROLLBACK_DEVIATIONS:
         return _make_step(state, Phase.BACK, "answers worse")._replace(degradation=degradation)
     step = _next_timed_step(state, fleet, degradation, now - state.lag_s)
@@ -217,20 +217,18 @@
 def _request_rate(state: RolloutState, at: float) -> float:
     """Return the service's answers per second since the order was received, at least 1."""
     elapsed_s = max(1.0, at - state.received_at)
-    return max(
-        1.0, (state.canary_analysis.old.answers + state.canary_analysis.new.answers) / elapsed_s
-    )
+    return max(1.0, (state.evidence.old.answers + state.evidence.new.answers) / elapsed_s)
 
 
 def _turn_ms(state: RolloutState, fleet: FleetView, at: float) -> int:
     """Return the length in ms of a trial turn, long enough for a burst that fills the slots."""
-    if not state.canary_analysis.old.answers:
+    if not state.evidence.old.answers:
         return round(MIN_TURN_S * 1000)
     rate = _request_rate(state, at)
     allowed, on_trial = _allowed_requests(state, max(1.0, state.order.duration), rate)
     share = on_trial / allowed * USABLE_SHARE_RATIO * state.bound.share if allowed else 0.0
-    turn = BURST_REQUESTS_PER_SLOT * fleet.slots / (share * rate + 1e-9)
-    return round(1000 * min(MAX_TURN_S, max(MIN_TURN_S, turn)))
+    turn_s = BURST_REQUESTS_PER_SLOT * fleet.slots / (share * rate + 1e-9)
+    return round(1000 * min(MAX_TURN_S, max(MIN_TURN_S, turn_s)))
 
 
 def _while_platform_unreachable(state: RolloutState, at: float) -> Step | None:
@@ -245,9 +243,7 @@
 
 
 def _step_from_trial(state: RolloutState, degradation: Degradation, at: float) -> Step | None:
-    if at >= state.decision_due_at and not canary_analysis.has_enough_answers(
-        state.canary_analysis
-    ):
+    if at >= state.decision_due_at and not evidence.has_enough_answers(state.evidence):
         return _make_step(state, Phase.BACK, "too few answers were seen")
     if at < state.decision_due_at - full_move_seconds(state, at) - MOVE_SCHEDULE[0][0]:
         return None
@@ -279,7 +275,7 @@
         return _make_step(state, Phase.MOVING, "more requests move", length_ms, closing)
     if at < state.decision_due_at or at < state.last_step_at + MIN_FULL_MOVE_S / 2:
         return None
-    if not canary_analysis.has_enough_answers(state.canary_analysis):
+    if not evidence.has_enough_answers(state.evidence):
         return _make_step(state, Phase.BACK, "too few answers were seen")
     if (
         degradation.deviations >= DOUBT_DEVIATIONS
@@ -303,7 +299,7 @@
 
 def _is_drained(state: RolloutState, server: str) -> bool:
     """Return whether a server reported for this step that no non-idempotent request runs there."""
-    tally = state.canary_analysis.tallies_by_server.get(server)
+    tally = state.evidence.tallies_by_server.get(server)
     if tally is None or tally.unsafe:
         return False
     return tally.closed_step == state.status.step
--- a/hornbeamgw/core/table.py
+++ b/hornbeamgw/core/table.py
@@ -1,4 +1,4 @@
-"""Rows: what a transactional table service reads and writes."""
+"""Rows, conditions and writes of a transactional table store."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class Row(NamedTuple):
-    """Hold the value of a row and the tag that a condition names."""
+    """Value of a row and its entity tag."""
 
     value: bytes
     etag: str
 
 
 class Condition(NamedTuple):
-    """Ask that a row has this tag, or with None that there is no such row."""
+    """Precondition that a row has this entity tag, or with None that it doesn't exist."""
 
     etag: str | None
 
 
 class Write(NamedTuple):
-    """Hold one write of a transaction; a value of None deletes the row."""
+    """One write of a transaction; a value of None deletes the row."""
 
     key: str
     value: bytes | None
--- a/hornbeamgw/core/tally.py
+++ b/hornbeamgw/core/tally.py
@@ -1,7 +1,8 @@
-"""Tally: what became of the requests that ran at a backend server, as the daemon beside it counts.
+"""Tally: counts of good and bad answers of a backend server, kept by the daemon next to it.
 
-What the server did counts: failures of its own, connections that it broke, and answers much slower
-than the callers' daemons see elsewhere. What links, callers and other services did does not.
+Only faults of the server count as bad: errors that it returned, connections that it broke, and
+answers much slower than those that the callers' daemons get from other servers. Faults of links,
+callers and other services don't count.
 """
 
 from __future__ import annotations
@@ -13,25 +14,25 @@
 from hornbeamgw.core.service_times import GUESS_OF_OBJECTIVE
 from hornbeamgw.core.verdict import Failure, Reason
 
-# An answer is slow that took so many times as long as is typical: service times spread by 0.8 of
-# their mean, and of two servers one may be twice as fast.
+# An answer is slow if it took this many times the typical time. The factor allows for the variation
+# of service times and for servers of different speed.
 SLOW_FACTOR = 3.0
 SERVER_ERROR_STATUS = 500
 MAX_ROUTES = 64
 
 
 class Count(NamedTuple):
-    """Hold how many answers there were, and how many of them were bad."""
+    """Number of answers, and how many of them were bad."""
 
     answers: int = 0
     bad: int = 0
 
 
 class Tally(NamedTuple):
-    """Hold what was counted at a server, by its number there, since that run of it began.
+    """Counts of a server since it was started; `server` is its number at its daemon.
 
-    Beside it goes at which step of a rollout the server was closed, 0 while it is open, and how
-    many requests that are not idempotent a closed one still holds.
+    `closed_step` is the rollout step at which the server was closed, or 0 while it is open;
+    `unsafe` is the number of non-idempotent requests still running on a closed server.
     """
 
     service: str
@@ -43,9 +44,10 @@
 
 
 class AttemptOutcome(NamedTuple):
-    """Hold how an attempt ended: its answer's status and how long (s) it was waited for.
+    """How an attempt ended: its failure, if any, the answer's status, and its duration in seconds.
 
-    What is typical (s) comes from the caller's daemon, or is 0. A server that is cold takes longer.
+    `typical_s` is the typical duration that the caller's daemon sent, or 0 if unknown. A cold
+    server is expected to take longer.
     """
 
     failure: Failure | None
@@ -57,13 +59,16 @@
 
 
 def slow_threshold(typical_s: float, objective_s: float, is_cold: bool) -> float:
-    """Return after how long (s) a request is slow, by what is typical (s or 0) or its objective."""
+    """Return the time in seconds after which a request counts as slow.
+
+    It is derived from the typical duration or, if that is 0, from the latency objective.
+    """
     times = SLOW_FACTOR * (COLD_FACTOR if is_cold else 1.0)
     return times * (typical_s or GUESS_OF_OBJECTIVE * objective_s)
 
 
 def is_bad(outcome: AttemptOutcome) -> bool | None:
-    """Return whether an attempt ended badly by its server's doing, None where that says nothing."""
+    """Return whether the server caused a bad outcome, or None if that can't be determined."""
     is_slow = outcome.elapsed_s > slow_threshold(
         outcome.typical_s, outcome.objective_s, outcome.is_cold
     )
@@ -75,7 +80,7 @@
 
 
 def record(counts_by_route: dict[str, Count], route: str, bad: bool) -> None:
-    """Count an answer."""
+    """Count an answer on a route; routes beyond MAX_ROUTES are ignored."""
     known = counts_by_route.get(route)
     if known is None:
         if len(counts_by_route) >= MAX_ROUTES:
--- a/hornbeamgw/daemon/codec.py
+++ b/hornbeamgw/daemon/codec.py
@@ -11,8 +11,8 @@
 
 from hornbeamgw.core.finding import MOST_FINDINGS, MOST_FINGERPRINTS, Finding, FindingKind
 from hornbeamgw.core.membership import FurtherServer, Member, ServerState, Status
-from hornbeamgw.core.rollout_status import MAX_ROLLOUT_STATUSES, Closing, Phase, RolloutStatus
 from hornbeamgw.core.snapshot import Limits
+from hornbeamgw.core.standing import MAX_ROLLOUT_STATUSES, Closing, Phase, RolloutStatus
 from hornbeamgw.core.verdict import Failure, Reason, Verdict
 from hornbeamgw.daemon import frames
 
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -23,8 +23,8 @@
 from hornbeamgw.core.membership import Member
 from hornbeamgw.core.options import Settings, split_address
 from hornbeamgw.core.retry_budget import Bound, BudgetState
-from hornbeamgw.core.rollout_status import RolloutStatus
 from hornbeamgw.core.snapshot import Snapshot
+from hornbeamgw.core.standing import RolloutStatus
 from hornbeamgw.daemon import logs, loop, plugins, sources
 from hornbeamgw.daemon.admin import Admin
 from hornbeamgw.daemon.adoption import Adoption
--- a/hornbeamgw/daemon/rollouts/leader.py
+++ b/hornbeamgw/daemon/rollouts/leader.py
@@ -10,11 +10,11 @@
 
 from hornbeamgw.backends.base import PlatformError
 from hornbeamgw.backends.rows import RowPage, RowStore, StoredRow
-from hornbeamgw.core import canary_analysis, membership, rollout
+from hornbeamgw.core import evidence, membership, rollout
 from hornbeamgw.core.balancing import serving
 from hornbeamgw.core.membership import Member, server_key, with_each_server
 from hornbeamgw.core.rollout import LEADER_LAG_S, FleetView, Order, RolloutState, Step
-from hornbeamgw.core.rollout_status import Phase, RolloutStatus
+from hornbeamgw.core.standing import Phase, RolloutStatus
 from hornbeamgw.core.tally import Tally
 from hornbeamgw.daemon.rollouts.orders import OrderRows
 from hornbeamgw.daemon.rollouts.rollouts import Rollouts
@@ -143,7 +143,7 @@
             return
         now = asyncio.get_running_loop().time()
         server = f"{sender}/{tally.server}" if tally.server else sender
-        canary_analysis.record_tally(led.state.canary_analysis, server, tally, now)
+        evidence.record_tally(led.state.evidence, server, tally, now)
 
     def _on_heard(self, standing: RolloutStatus) -> None:
         led = self._led_by_service.get(standing.service)
@@ -218,7 +218,7 @@
         told |= {"step": step.status.step, "length_ms": step.status.length_ms}
         told |= {"closing": step.status.closing.name.lower()}
         told |= {"after_s": round(now - state.received_at, 2), "against": step.degradation}
-        told |= {"new": state.canary_analysis.new, "before": state.canary_analysis.old}
+        told |= {"new": state.evidence.new, "before": state.evidence.old}
         log.info("rollout step", extra=told)
 
     # Status
--- a/hornbeamgw/daemon/rollouts/orders.py
+++ b/hornbeamgw/daemon/rollouts/orders.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from hornbeamgw.core.rollout_status import Phase
+from hornbeamgw.core.standing import Phase
 
 
 class WrittenOrder(NamedTuple):
--- a/hornbeamgw/daemon/rollouts/rollouts.py
+++ b/hornbeamgw/daemon/rollouts/rollouts.py
@@ -11,7 +11,7 @@
 from hornbeamgw.core import exposure
 from hornbeamgw.core.exposure import ExposureBound, ExposureState
 from hornbeamgw.core.membership import Member
-from hornbeamgw.core.rollout_status import MAX_ROLLOUT_STATUSES, RolloutStatus
+from hornbeamgw.core.standing import MAX_ROLLOUT_STATUSES, RolloutStatus
 
 log = logging.getLogger(__name__)
 
--- a/hornbeamgw/daemon/rollouts/statuses.py
+++ b/hornbeamgw/daemon/rollouts/statuses.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from hornbeamgw.backends.rows import RowStore, StoredRow
-from hornbeamgw.core.rollout_status import Phase, RolloutStatus
+from hornbeamgw.core.standing import Phase, RolloutStatus
 from hornbeamgw.daemon.rollouts.orders import PROGRESS_BY_PHASE, OrderRows, Progress, Status
 
 log = logging.getLogger(__name__)
--- a/hornbeamgw/daemon/rollouts/tallies.py
+++ b/hornbeamgw/daemon/rollouts/tallies.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Sequence
 
-from hornbeamgw.core.rollout_status import Closing
+from hornbeamgw.core.standing import Closing
 from hornbeamgw.core.tally import Tally
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.rollouts.rollouts import Rollouts
--- a/hornbeamgw/testing/rollout_model.py
+++ b/hornbeamgw/testing/rollout_model.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from hornbeamgw.core import canary_analysis, exposure, rollout, tally
+from hornbeamgw.core import evidence, exposure, rollout, tally
 from hornbeamgw.core.exposure import Arm, ExposureBound, ExposureState, RequestTraits
 from hornbeamgw.core.membership import Member, server_key
 from hornbeamgw.core.rollout import LEADER_LAG_S, FleetView, Order, RolloutState
-from hornbeamgw.core.rollout_status import Closing, Phase, RolloutStatus
+from hornbeamgw.core.standing import Closing, Phase, RolloutStatus
 from hornbeamgw.core.tally import AttemptOutcome, Count, Tally
 from hornbeamgw.core.verdict import Failure, Reason, may_have_run
 
@@ -445,7 +445,7 @@
                 )
 
     def _take(self, leader: RolloutState, server: str, sent: Tally) -> None:
-        canary_analysis.record_tally(leader.canary_analysis, server, sent, self.now)
+        evidence.record_tally(leader.evidence, server, sent, self.now)
 
     def _lead(self, leader: RolloutState) -> None:
         is_away = self._away_at <= self.now <= self._away_at + AWAY_S
@@ -486,5 +486,5 @@
     model = RolloutModel(load, badness, trouble, duration, seed)
     outcome = model.run()
     is_over = outcome.exposed > model.bound_at_end()
-    seen = model.leaders[0].canary_analysis
+    seen = model.leaders[0].evidence
     return outcome._replace(is_over_bound=is_over), {"new": seen.new, "before": seen.old}
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -97,13 +97,13 @@
     ),
     Mutant(
         "what was decided on a rollout is not undone by a later word",
-        "hornbeamgw/core/rollout_status.py",
+        "hornbeamgw/core/standing.py",
         (("decided = status.phase if status.is_final else 0", "decided = 0"),),
         ROLLOUTS,
     ),
     Mutant(
         "a version that answers worse is taken back",
-        "hornbeamgw/core/canary_analysis.py",
+        "hornbeamgw/core/evidence.py",
         (
             (
                 "    return found\n\n\ndef has_enough_answers",
