--- a/hornbeamgw/core/evidence.py
+++ b/hornbeamgw/core/evidence.py
@@ -32,7 +32,7 @@
 # The baseline decays quickly, since bursts and faults are transient.
 BASELINE_HALF_LIFE_S = 2.0
 BASELINE_PRIOR_ANSWERS = 40.0
-RECENT_S = 3.0
+RECENT_WINDOW_S = 3.0
 # Fraction of the version's servers that may be faulty for other reasons than the version.
 FAULTY_SERVER_RATIO = 0.15
 # Added to the variance, which is too small an estimate for few answers.
@@ -52,9 +52,9 @@
         self.at = now
 
     def add(self, count: Count, now: float) -> None:
-        kept = 0.5 ** (max(0.0, now - self.at) / BASELINE_HALF_LIFE_S)
-        self.answers = self.answers * kept + count.answers
-        self.bad = self.bad * kept + count.bad
+        decay = 0.5 ** (max(0.0, now - self.at) / BASELINE_HALF_LIFE_S)
+        self.answers = self.answers * decay + count.answers
+        self.bad = self.bad * decay + count.bad
         self.at = now
 
 
@@ -150,33 +150,35 @@
     overall = state.baselines_by_route.get(ALL_ROUTES)
     if overall is None:
         return MIN_BAD_RATIO
-    general = (overall.bad + MIN_BAD_RATIO * BASELINE_PRIOR_ANSWERS) / (
+    prior_ratio = (overall.bad + MIN_BAD_RATIO * BASELINE_PRIOR_ANSWERS) / (
         overall.answers + BASELINE_PRIOR_ANSWERS
     )
-    seen = state.baselines_by_route.get(route, overall)
-    share = (seen.bad + general * BASELINE_PRIOR_ANSWERS) / (seen.answers + BASELINE_PRIOR_ANSWERS)
-    return min(MAX_BAD_RATIO, max(MIN_BAD_RATIO, share))
+    route_baseline = state.baselines_by_route.get(route, overall)
+    bad_ratio = (route_baseline.bad + prior_ratio * BASELINE_PRIOR_ANSWERS) / (
+        route_baseline.answers + BASELINE_PRIOR_ANSWERS
+    )
+    return min(MAX_BAD_RATIO, max(MIN_BAD_RATIO, bad_ratio))
 
 
 def _add_sample(state: EvidenceState, server: str, route: str, count: Count, now: float) -> None:
-    share = _baseline_bad_ratio(state, route)
-    expected = count.answers * share
-    added = _Sample(now, server, route, count.bad - expected, expected * (1 - share))
+    bad_ratio = _baseline_bad_ratio(state, route)
+    expected = count.answers * bad_ratio
+    added = _Sample(now, server, route, count.bad - expected, expected * (1 - bad_ratio))
     state.sums.add(added)
     state.recent_sums.add(added)
     state.recent.append(added)
 
 
 def _expire_recent(state: EvidenceState, now: float) -> None:
-    while state.recent and now - state.recent[0].at > RECENT_S:
+    while state.recent and now - state.recent[0].at > RECENT_WINDOW_S:
         state.recent_sums.add(state.recent.popleft(), -1)
 
 
 def _deviations(excess_by_server: Mapping[str, float], variance: float, faulty: int) -> float:
     """Return the total excess in standard deviations, capped for the `faulty` worst servers."""
     ordered = sorted(excess_by_server.values())
-    most = ordered[-1 - faulty] if faulty < len(ordered) else 0.0
-    excess = sum(min(most, value) for value in ordered)
+    cap = ordered[-1 - faulty] if faulty < len(ordered) else 0.0
+    excess = sum(min(cap, value) for value in ordered)
     return excess / math.sqrt(max(0.0, variance) + EXTRA_VARIANCE)
 
 
--- a/hornbeamgw/core/exposure.py
+++ b/hornbeamgw/core/exposure.py
@@ -191,7 +191,7 @@
     if closing is Closing.CLOSED and (request.is_first_attempt or not request.is_idempotent):
         return Arm.NEW
     if closing is Closing.IDEMPOTENT and not request.is_idempotent:
-        return _select_arm_for_unsafe(state, current, request.has_waited, rng)
+        return _select_non_idempotent_arm(state, current, request.has_waited, rng)
     if not request.is_first_attempt or not _has_room(state, current, rng):
         return Arm.BEFORE
     if current.phase is Phase.TRIAL:
@@ -202,7 +202,7 @@
     return Arm.NEW if request.length_s * 1000 >= current.length_ms else Arm.BEFORE
 
 
-def _select_arm_for_unsafe(
+def _select_non_idempotent_arm(
     state: ExposureState, current: RolloutStatus, has_waited: bool, rng: random.Random
 ) -> Arm:
     """Return the arm of a non-idempotent request shortly before the old servers are stopped.
