--- a/hornbeamgw/core/tally.py
+++ b/hornbeamgw/core/tally.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from hornbeamgw.core.queueing import COLD_FACTOR
+from hornbeamgw.core.queueing import COLD_SERVICE_TIME_FACTOR
 from hornbeamgw.core.service_times import GUESS_OF_OBJECTIVE
 from hornbeamgw.core.verdict import Failure, Reason
 
@@ -63,7 +63,7 @@
 
     It is derived from the typical duration or, if that is 0, from the latency objective.
     """
-    times = SLOW_FACTOR * (COLD_FACTOR if is_cold else 1.0)
+    times = SLOW_FACTOR * (COLD_SERVICE_TIME_FACTOR if is_cold else 1.0)
     return times * (typical_s or GUESS_OF_OBJECTIVE * objective_s)
 
 
--- a/hornbeamgw/daemon/codec.py
+++ b/hornbeamgw/daemon/codec.py
@@ -9,7 +9,7 @@
 
 import capnp
 
-from hornbeamgw.core.finding import MOST_FINDINGS, MOST_FINGERPRINTS, Finding, FindingKind
+from hornbeamgw.core.finding import MAX_FINDINGS, MAX_FINGERPRINTS, Finding, FindingKind
 from hornbeamgw.core.membership import FurtherServer, Member, ServerState, Status
 from hornbeamgw.core.snapshot import Limits
 from hornbeamgw.core.standing import MAX_ROLLOUT_STATUSES, Closing, Phase, RolloutStatus
@@ -96,8 +96,8 @@
 
 
 def _read_finding(raw: Any) -> Finding:
-    if len(raw.fingerprints) > MOST_FINGERPRINTS:
-        raise ValueError(f"{len(raw.fingerprints)} fingerprints, expected {MOST_FINGERPRINTS}")
+    if len(raw.fingerprints) > MAX_FINGERPRINTS:
+        raise ValueError(f"{len(raw.fingerprints)} fingerprints, expected {MAX_FINGERPRINTS}")
     return Finding(raw.number, FindingKind(raw.kind), tuple(raw.fingerprints))
 
 
@@ -163,8 +163,8 @@
     *place, status = read_already
     service, state, *more = _read_first_server(raw)
     findings, further_servers, standings = _read_lists(raw)
-    if len(findings) > MOST_FINDINGS:
-        raise ValueError(f"{len(findings)} findings, expected {MOST_FINDINGS} at most")
+    if len(findings) > MAX_FINDINGS:
+        raise ValueError(f"{len(findings)} findings, expected {MAX_FINDINGS} at most")
     if len(standings) > MAX_ROLLOUT_STATUSES:
         raise ValueError(f"{len(standings)} standings, expected {MAX_ROLLOUT_STATUSES} at most")
     values = (
