--- a/hornbeamgw/core/admission.py
+++ b/hornbeamgw/core/admission.py
@@ -223,7 +223,7 @@
         state.mean_service_time += SERVICE_TIME_EWMA_WEIGHT * (
             now - started - state.mean_service_time
         )
-        service_times.note(state.service_time_estimates, request.route, now - started)
+        service_times.record(state.service_time_estimates, request.route, now - started)
     return next_decisions(state, now)
 
 
