--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -9,7 +9,7 @@
 
 from benchmarks.report import emit, register
 from hornbeamgw.core.catalogue import Item, compute_digest
-from hornbeamgw.core.snapshot import EMPTY, Snapshot, build
+from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, Snapshot, build_snapshot
 
 RUNS = 9
 PARTS = (
@@ -60,7 +60,7 @@
         for _ in range(RUNS):
             items = _catalogue(routes)
             began = time.process_time()
-            build(1, compute_digest(items), items).unwrap()
+            build_snapshot(1, compute_digest(items), items).unwrap()
             samples.append(time.process_time() - began)
         emit("first version", "core seconds", samples, routes=routes)
 
@@ -72,7 +72,7 @@
     for number in range(version, version + CHANGED):
         after[f"route/r{number}"] = _route(number, 1000 + version)
     began = time.process_time()
-    snapshot = build(version, str(version), after, items, known).unwrap()
+    snapshot = build_snapshot(version, str(version), after, items, known).unwrap()
     return after, snapshot, time.process_time() - began
 
 
@@ -81,12 +81,12 @@
     """Build versions that each change ten routes, one from the other and from nothing."""
     for routes in ROUTES:
         items, changed, whole = _catalogue(routes), [], []
-        known = build(1, "1", items, base=EMPTY).unwrap()
+        known = build_snapshot(1, "1", items, base=EMPTY_SNAPSHOT).unwrap()
         for version in range(2, 2 + VERSIONS):
             items, known, took = _next_version(items, known, version)
             changed.append(took * 1000)
             began = time.process_time()
-            build(version, str(version), items).unwrap()
+            build_snapshot(version, str(version), items).unwrap()
             whole.append((time.process_time() - began) * 1000)
         emit("version from the one before", "ms", changed, routes=routes, changed=CHANGED)
         emit("version from nothing", "ms", whole, routes=routes)
--- a/features/steps/adoption.py
+++ b/features/steps/adoption.py
@@ -13,7 +13,7 @@
 from hornbeamgw.core import membership, node
 from hornbeamgw.core.membership import Member, ServerState
 from hornbeamgw.core.registration import Announcement, Departure, Heartbeat
-from hornbeamgw.core.snapshot import EMPTY
+from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT
 from hornbeamgw.daemon.adoption import Adoption
 from hornbeamgw.daemon.announcements import Announcements
 from hornbeamgw.daemon.gate import Gate
@@ -72,7 +72,7 @@
 
 async def begin(context):
     """Start a daemon's part that knows its server, with nothing known."""
-    context.gate = Gate(lambda: EMPTY, lambda: None)
+    context.gate = Gate(lambda: EMPTY_SNAPSHOT, lambda: None)
     row = OwnRow(context.rows, Member(KEY, "suva-1", "fiji", 1))
     context.taker = Announcements(
         Gates(lambda: context.gate), None, 10, 6.0, adoption=Adoption(row, b"x-instance-id")
--- a/features/steps/breaker.py
+++ b/features/steps/breaker.py
@@ -10,7 +10,7 @@
 from hornbeamgw.core.breaker import BreakerState
 from hornbeamgw.core.membership import ServerState
 from hornbeamgw.core.registration import Announcement
-from hornbeamgw.core.snapshot import EMPTY, Limits
+from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, Limits
 from hornbeamgw.core.verdict import Verdict
 from hornbeamgw.daemon import frames
 from hornbeamgw.daemon.gate import Gate
@@ -106,7 +106,11 @@
 
     context.scripted = await asyncio.start_server(on_connection, "127.0.0.1", 0)
     host, port = context.scripted.sockets[0].getsockname()
-    context.gate, context.asker, context.number = Gate(lambda: EMPTY, lambda: None), Asker(), 0
+    context.gate, context.asker, context.number = (
+        Gate(lambda: EMPTY_SNAPSHOT, lambda: None),
+        Asker(),
+        0,
+    )
     serving = ServerState.SERVING
     context.gate.announce(Announcement("roster", f"{host}:{port}", 6, 9, serving, 1e12, "i-1"))
 
--- a/features/steps/budget.py
+++ b/features/steps/budget.py
@@ -9,7 +9,7 @@
 
 from hornbeamgw.core import retry_budget, returns, split
 from hornbeamgw.core.retry_budget import Bound, BudgetState
-from hornbeamgw.core.snapshot import Entry, Limits, Part, Route
+from hornbeamgw.core.snapshot import Destination, Entry, Limits, Route
 
 MANY_TRIES = 200
 ENTRY = Entry("all", "o", "c", Limits(1, 0, 0))
@@ -93,7 +93,7 @@
 @given('{count:d} daemons that share a route "{weights}"')
 def route(context, count, weights):
     parsed = [int(weight) for weight in weights.split(",")]
-    parts = [Part(f"s{i}", w / sum(parsed)) for i, w in enumerate(parsed)]
+    parts = [Destination(f"s{i}", w / sum(parsed)) for i, w in enumerate(parsed)]
     context.weights = {part.service: part.share for part in parts}
     kept = tuple(part for part in parts if part.share)
     methods = frozenset({"*"})
--- a/features/steps/reborn.py
+++ b/features/steps/reborn.py
@@ -15,7 +15,7 @@
 from hornbeamgw.core.membership import Member, ServerState
 from hornbeamgw.core.placement import RouteTraits
 from hornbeamgw.core.registration import Announcement, Heartbeat, RegistrationState
-from hornbeamgw.core.snapshot import EMPTY, Limits
+from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, Limits
 from hornbeamgw.core.verdict import Reason, Verdict
 from hornbeamgw.daemon import frames, heads, plugins
 from hornbeamgw.daemon.announcements import Announcements, decoders_by_name
@@ -108,7 +108,7 @@
         context.silent = await asyncio.start_server(never, "127.0.0.1", 0)
         host, port = context.silent.sockets[0].getsockname()
         context.address = f"{host}:{port}"
-        context.gate = Gate(lambda: EMPTY, lambda: None)
+        context.gate = Gate(lambda: EMPTY_SNAPSHOT, lambda: None)
         context.gate.announce(announcement(context.address, 1000))
         context.link = SilentLink()
         context.gate.on_frame(context.link, call_frame())
@@ -170,7 +170,7 @@
 
 
 def load_of(context, member, generation):
-    view = View(True, EMPTY, member, [member], generation)
+    view = View(True, EMPTY_SNAPSHOT, member, [member], generation)
     (candidate,) = context.servers._candidates(view, "roster", 10.0)
     assert isinstance(candidate, Candidate)
     return candidate.load
@@ -236,7 +236,7 @@
 @given('a daemon beside the server "i-1" on the users\' platform')
 def beside(context):
     async def begin():
-        context.gate = Gate(lambda: EMPTY, lambda: None)
+        context.gate = Gate(lambda: EMPTY_SNAPSHOT, lambda: None)
         context.taker = Announcements(
             Gates(lambda: context.gate),
             decoders_by_name["mesh"],
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -17,7 +17,7 @@
 from hornbeamgw.core.membership import Member, ServerState
 from hornbeamgw.core.node import Envelope
 from hornbeamgw.core.rollout import Order, RolloutState, Seen
-from hornbeamgw.core.snapshot import EMPTY, Limits
+from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, Limits
 from hornbeamgw.core.standing import Closing, Phase, Standing
 from hornbeamgw.core.tally import Count, Ended, Tally
 from hornbeamgw.core.verdict import Reason, Verdict, may_have_run, not_run
@@ -287,7 +287,7 @@
     context.scripted = await asyncio.start_server(on_connection, "127.0.0.1", 0)
     host, port = context.scripted.sockets[0].getsockname()
     one_daemon(context, 1, 0.1, 50)
-    context.gate = Gate(lambda: EMPTY, lambda: None, exposed=context.state)
+    context.gate = Gate(lambda: EMPTY_SNAPSHOT, lambda: None, exposed=context.state)
     serving = ServerState.SERVING
     told = Announcement(SERVICE, f"{host}:{port}", 6, 9, serving, 1e12, "i-1", software="v1")
     context.gate.announce(told)
--- a/features/steps/server_ends.py
+++ b/features/steps/server_ends.py
@@ -10,7 +10,7 @@
 from hornbeamgw.core.finding import FindingKind
 from hornbeamgw.core.membership import ServerState
 from hornbeamgw.core.registration import Announcement
-from hornbeamgw.core.snapshot import EMPTY, Limits
+from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, Limits
 from hornbeamgw.daemon import frames
 from hornbeamgw.daemon.end_watch import EndWatch
 from hornbeamgw.daemon.gate import Gate
@@ -32,7 +32,7 @@
 
     context.ending = await asyncio.start_server(on_connection, "127.0.0.1", 0)
     host, port = context.ending.sockets[0].getsockname()
-    context.gate, context.asker = Gate(lambda: EMPTY, lambda: None), Asker()
+    context.gate, context.asker = Gate(lambda: EMPTY_SNAPSHOT, lambda: None), Asker()
     serving = ServerState.SERVING
     context.gate.announce(Announcement("lookup", f"{host}:{port}", 6, 9, serving, 1e12, "i-1"))
 
--- a/features/steps/servers.py
+++ b/features/steps/servers.py
@@ -13,7 +13,7 @@
 from hornbeamgw.core.membership import Member, ServerState
 from hornbeamgw.core.node import Envelope
 from hornbeamgw.core.registration import Departure, Heartbeat
-from hornbeamgw.core.snapshot import EMPTY, Limits
+from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, Limits
 from hornbeamgw.core.spreading import Have
 from hornbeamgw.core.verdict import Verdict
 from hornbeamgw.daemon import datagrams, frames, heads
@@ -78,7 +78,7 @@
 def begin_daemon(context):
     row = OwnRow(context.rows, ME)
     context.view = membership.MembershipState(ME, membership.Timing())
-    context.gates = Gates(lambda: Gate(lambda: EMPTY, lambda: on_change(context)))
+    context.gates = Gates(lambda: Gate(lambda: EMPTY_SNAPSHOT, lambda: on_change(context)))
     context.taker = Announcements(
         context.gates, None, 10, 6.0, adoption=Adoption(row, b"x-instance-id")
     )
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -9,7 +9,7 @@
 
 from hornbeamgw.core import invariants, snapshot
 from hornbeamgw.core.catalogue import Item, compute_digest, update_digest
-from hornbeamgw.core.snapshot import EMPTY, build, match
+from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, build_snapshot, match_route
 
 SERVICES = 6
 ENTRIES = 4
@@ -64,7 +64,7 @@
         taken.add((body["host"], body["prefix"]))
         items[f"route/r{number}"] = Item(0, body)
     context.items = items
-    context.snapshot = build(1, compute_digest(items), items).unwrap()
+    context.snapshot = build_snapshot(1, compute_digest(items), items).unwrap()
 
 
 def edited(items, rng, hosts, count):
@@ -95,8 +95,8 @@
         after = edited(items, context.rng, context.hosts, context.count)
         changed = {k for k in {*items, *after} if items.get(k) is not after.get(k)}
         new_digest = update_digest(digest, items, after, changed)
-        built = build(version, new_digest, after, items, known)
-        alone = build(version, compute_digest(after), after)
+        built = build_snapshot(version, new_digest, after, items, known)
+        alone = build_snapshot(version, compute_digest(after), after)
         context.outcomes.append((built, alone, known))
         if isinstance(built, Ok):
             items, known, digest = after, built.ok_value, new_digest
@@ -132,7 +132,9 @@
     for number in context.rng.sample(range(context.count), count):
         body = {**after[f"route/r{number}"].body, "deadline_ms": 5001}
         after[f"route/r{number}"] = Item(0, body)
-    context.after = build(2, compute_digest(after), after, context.items, context.snapshot).unwrap()
+    context.after = build_snapshot(
+        2, compute_digest(after), after, context.items, context.snapshot
+    ).unwrap()
 
 
 @then("{count:d} routes were built anew and the others are the very objects from before")
@@ -166,13 +168,13 @@
         method = rng.choice(["GET", "POST", "PUT"])
         path = f"/{rng.randrange(context.count)}/x" if rng.random() < 0.4 else prefix_of(rng)
         expected = match_by_looking(context.snapshot, host, method, path)
-        assert match(context.snapshot, host, method, path) is expected, (host, method, path)
+        assert match_route(context.snapshot, host, method, path) is expected, (host, method, path)
         hits += expected is not None
     assert hits > count / 10, hits
 
 
 @then("a path of {length:d} slashes is looked up at most {count:d} times")
 def bounded(context, length, count):
-    assert sum(1 for _ in snapshot._prefixes_of("/" * length)) <= count
-    assert match(context.snapshot, "h0.example", "GET", "/" * length) is None
-    assert match(EMPTY, "h0.example", "GET", "/" * length) is None
+    assert sum(1 for _ in snapshot._candidate_prefixes("/" * length)) <= count
+    assert match_route(context.snapshot, "h0.example", "GET", "/" * length) is None
+    assert match_route(EMPTY_SNAPSHOT, "h0.example", "GET", "/" * length) is None
--- a/hornbeamgw/core/invariants.py
+++ b/hornbeamgw/core/invariants.py
@@ -1,11 +1,11 @@
-"""Invariants: what must always hold, counted wherever the daemon can see it."""
+"""Invariants that a daemon checks at run time; violations are counted by name."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterator
 
-from hornbeamgw.core.snapshot import EMPTY, Route, Snapshot
+from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, Route, Snapshot
 
 NEVER_REVERTS = "never_reverts"
 NO_DANGLING_ROUTE = "no_dangling_route"
@@ -22,36 +22,36 @@
     return holds
 
 
-def _has_lost_names(old: Snapshot, new: Snapshot) -> bool:
-    """Return whether a service or entry that a route of the old snapshot may name is gone."""
+def _has_removed_targets(old: Snapshot, new: Snapshot) -> bool:
+    """Return whether a service or entry that an old route may refer to was removed or changed."""
     entries = old.entries_by_name.items()
-    is_kept = all(new.entries_by_name.get(name) is entry for name, entry in entries)
-    return not (is_kept and old.services <= new.services)
+    keeps_entries = all(new.entries_by_name.get(name) is entry for name, entry in entries)
+    return not (keeps_entries and old.services <= new.services)
 
 
-def _routes_to_look_at(old: Snapshot, new: Snapshot) -> Iterator[Route]:
-    """Return the routes that the old snapshot does not vouch for."""
-    lost = _has_lost_names(old, new)
+def _routes_to_check(old: Snapshot, new: Snapshot) -> Iterator[Route]:
+    """Yield the routes that were not already checked with the old snapshot."""
+    has_removed_targets = _has_removed_targets(old, new)
     for host, routes_by_prefix in new.routes_by_host.items():
-        known = {} if lost else old.routes_by_host.get(host, {})
-        if known is routes_by_prefix:
+        checked = {} if has_removed_targets else old.routes_by_host.get(host, {})
+        if checked is routes_by_prefix:
             continue
         for prefix, routes in routes_by_prefix.items():
-            if known.get(prefix) is not routes:
+            if checked.get(prefix) is not routes:
                 yield from routes
 
 
-def dangling_routes(new: Snapshot, old: Snapshot = EMPTY) -> int:
-    """Return the number of routes that point at a service or entry not in the snapshot."""
+def dangling_routes(new: Snapshot, old: Snapshot = EMPTY_SNAPSHOT) -> int:
+    """Return the number of routes that refer to a service or entry not in the snapshot."""
     return sum(
-        any(part.service not in new.services for part in route.parts)
+        any(destination.service not in new.services for destination in route.destinations)
         or new.entries_by_name.get(route.entry.name) is not route.entry
-        for route in _routes_to_look_at(old, new)
+        for route in _routes_to_check(old, new)
     )
 
 
 def check_swap(old: Snapshot, new: Snapshot, floor: int) -> None:
-    """Check what must hold as one snapshot takes the place of another."""
+    """Check the invariants of replacing one snapshot by another."""
     check(NEVER_REVERTS, new.version > old.version)
     check(AT_OR_ABOVE_FLOOR, new.version >= floor)
     check(NO_DANGLING_ROUTE, dangling_routes(new, old) == 0)
--- a/hornbeamgw/core/snapshot.py
+++ b/hornbeamgw/core/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshot: a whole catalogue version compiled for routing."""
+"""Routing snapshot: immutable route table compiled from one catalogue version."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 )
 from hornbeamgw.core.problems import Problem
 
-DEFAULT_QUEUE = 16
+DEFAULT_QUEUE_SIZE = 16
 DEFAULT_ATTEMPTS = 3
-MAX_PREFIX = 512  # the longest that a catalogue may hold; slashes behind it begin no other match
+# Longest prefix that the catalogue accepts; longer prefixes of a path are not looked up.
+MAX_PREFIX_LENGTH = 512
 
 
 class Limits(NamedTuple):
-    """Hold what an entry may use at one backend server."""
+    """Admission limits of an entry at one backend server."""
 
     slots: int
     reserved: int
@@ -31,7 +32,7 @@
 
 
 class Entry(NamedTuple):
-    """Hold an owner, a class of traffic and its limits."""
+    """Entry: an owner, a traffic class and admission limits."""
 
     name: str
     owner: str
@@ -39,21 +40,21 @@
     limits: Limits
 
 
-class Part(NamedTuple):
-    """Hold one service that a route leads to and its share of the requests."""
+class Destination(NamedTuple):
+    """Service that a route forwards to, and its share of the requests (0 to 1)."""
 
     service: str
     share: float
 
 
 class Route(NamedTuple):
-    """Hold a route with the services and the entry that it resolves to."""
+    """Route with its destinations and its entry resolved."""
 
     name: str
     host: str
     prefix: str
     methods: frozenset[str]
-    parts: tuple[Part, ...]
+    destinations: tuple[Destination, ...]
     entry: Entry
     idempotent: bool
     deadline_ms: int
@@ -64,14 +65,14 @@
     @property
     def service(self) -> str:
         """Return the service with the largest share."""
-        return max(self.parts, key=lambda part: part.share).service
+        return max(self.destinations, key=lambda destination: destination.share).service
 
 
 RoutesByPrefix = Mapping[str, tuple[Route, ...]]
 
 
 class Snapshot(NamedTuple):
-    """Hold one version in force; a call keeps the snapshot that it started with."""
+    """Compiled catalogue version; a call uses the snapshot that was current when it started."""
 
     version: int
     digest: str
@@ -81,31 +82,33 @@
     health_paths_by_service: Mapping[str, str] = {}
 
 
-EMPTY = Snapshot(0, "", frozenset(), {}, {})
+EMPTY_SNAPSHOT = Snapshot(0, "", frozenset(), {}, {})
 
 
 def _entry(body: Mapping[str, Any]) -> Entry:
     limits = body["limits"]
-    shares = Limits(limits["slots"], limits.get("reserved", 0), limits.get("queue", DEFAULT_QUEUE))
-    return Entry(body["name"], body["owner"], body["traffic_class"], shares)
+    entry_limits = Limits(
+        limits["slots"], limits.get("reserved", 0), limits.get("queue", DEFAULT_QUEUE_SIZE)
+    )
+    return Entry(body["name"], body["owner"], body["traffic_class"], entry_limits)
 
 
-def _entries(items: Items, trusted: Items, base: Snapshot) -> dict[str, Entry]:
-    """Return the entries; one that did not change stays the very object that its routes hold."""
+def _entries(items: Items, base_items: Items, base: Snapshot) -> dict[str, Entry]:
+    """Return the entries by name; unchanged ones are the objects that base routes refer to."""
     entries: dict[str, Entry] = {}
     for key, item in items.items():
         if not key.startswith("entry/"):
             continue
         name = item.body["name"]
-        is_known = trusted.get(key) is item
-        entries[name] = base.entries_by_name[name] if is_known else _entry(item.body)
+        is_unchanged = base_items.get(key) is item
+        entries[name] = base.entries_by_name[name] if is_unchanged else _entry(item.body)
     return entries
 
 
-def _parts(body: Mapping[str, Any]) -> tuple[Part, ...]:
+def _destinations(body: Mapping[str, Any]) -> tuple[Destination, ...]:
     weights = weighted_services(body)
     total = sum(weight for _, weight in weights)
-    return tuple(Part(service, weight / total) for service, weight in weights if weight)
+    return tuple(Destination(service, weight / total) for service, weight in weights if weight)
 
 
 def _route(body: Mapping[str, Any], entries: Mapping[str, Entry]) -> Route:
@@ -115,7 +118,7 @@
         body["host"],
         body["prefix"],
         frozenset(body.get("methods", (ANY_METHOD,))),
-        _parts(body),
+        _destinations(body),
         entries[body["entry"]],
         body["idempotent"],
         deadline_ms,
@@ -125,55 +128,55 @@
     )
 
 
-class _Table:
-    """Hold the routes of a snapshot while some of them are exchanged; the old one stays whole."""
+class _RouteTableBuilder:
+    """Route table that copies the mappings of a base snapshot on their first change."""
 
     def __init__(self, base: Snapshot) -> None:
         self.routes_by_host = dict(base.routes_by_host)
-        self._own: dict[str, dict[str, tuple[Route, ...]]] = {}
+        self._copies_by_host: dict[str, dict[str, tuple[Route, ...]]] = {}
 
-    def _prefixes(self, host: str) -> dict[str, tuple[Route, ...]]:
-        if host not in self._own:
-            self._own[host] = dict(self.routes_by_host.get(host, {}))
-            self.routes_by_host[host] = self._own[host]
-        return self._own[host]
+    def _writable_routes(self, host: str) -> dict[str, tuple[Route, ...]]:
+        if host not in self._copies_by_host:
+            self._copies_by_host[host] = dict(self.routes_by_host.get(host, {}))
+            self.routes_by_host[host] = self._copies_by_host[host]
+        return self._copies_by_host[host]
 
-    def drop(self, name: str, host: str, prefix: str) -> None:
-        prefixes = self._prefixes(host)
-        kept = tuple(route for route in prefixes.pop(prefix) if route.name != name)
+    def remove(self, name: str, host: str, prefix: str) -> None:
+        routes_by_prefix = self._writable_routes(host)
+        kept = tuple(route for route in routes_by_prefix.pop(prefix) if route.name != name)
         if kept:
-            prefixes[prefix] = kept
-        if not prefixes:
-            del self.routes_by_host[host], self._own[host]
+            routes_by_prefix[prefix] = kept
+        if not routes_by_prefix:
+            del self.routes_by_host[host], self._copies_by_host[host]
 
     def add(self, route: Route) -> None:
-        prefixes = self._prefixes(route.host)
-        beside = (*prefixes.get(route.prefix, ()), route)
-        prefixes[route.prefix] = tuple(sorted(beside, key=lambda other: other.name))
+        routes_by_prefix = self._writable_routes(route.host)
+        routes = (*routes_by_prefix.get(route.prefix, ()), route)
+        routes_by_prefix[route.prefix] = tuple(sorted(routes, key=lambda other: other.name))
 
 
-def _stale_keys(items: Items, trusted: Items, changed: list[str]) -> list[str]:
-    """Return the routes that can't be taken over: changed ones, and those of changed entries."""
+def _changed_route_keys(items: Items, base_items: Items, changed: list[str]) -> list[str]:
+    """Return the keys of routes to rebuild: changed ones, and those of changed entries."""
     entries = {key.partition("/")[2] for key in changed if key.startswith("entry/")}
     routes = {key for key in changed if key.startswith("route/")}
-    if any(f"entry/{name}" in trusted for name in entries):
-        named = (key for key in items if key.startswith("route/"))
-        routes |= {key for key in named if items[key].body["entry"] in entries}
+    if any(f"entry/{name}" in base_items for name in entries):
+        route_keys = (key for key in items if key.startswith("route/"))
+        routes |= {key for key in route_keys if items[key].body["entry"] in entries}
     return sorted(routes)
 
 
 def _routes(
-    items: Items, entries: Mapping[str, Entry], trusted: Items, base: Snapshot
+    items: Items, entries: Mapping[str, Entry], base_items: Items, base: Snapshot
 ) -> Mapping[str, RoutesByPrefix]:
-    stale = _stale_keys(items, trusted, changed_keys(items, trusted))
-    gone = [key for key in trusted if key not in items and key.startswith("route/")]
-    table = _Table(base)
-    for key in [*gone, *(key for key in stale if key in trusted)]:
-        body = trusted[key].body
-        table.drop(body["name"], body["host"], body["prefix"])
-    for key in stale:
-        table.add(_route(items[key].body, entries))
-    return table.routes_by_host
+    to_rebuild = _changed_route_keys(items, base_items, changed_keys(items, base_items))
+    removed = [key for key in base_items if key not in items and key.startswith("route/")]
+    builder = _RouteTableBuilder(base)
+    for key in [*removed, *(key for key in to_rebuild if key in base_items)]:
+        body = base_items[key].body
+        builder.remove(body["name"], body["host"], body["prefix"])
+    for key in to_rebuild:
+        builder.add(_route(items[key].body, entries))
+    return builder.routes_by_host
 
 
 def _health_paths(items: Items) -> dict[str, str]:
@@ -181,50 +184,50 @@
     return {body["name"]: body["health_path"] for body in bodies if "health_path" in body}
 
 
-def build(
+def build_snapshot(
     version: int,
     digest: str,
     items: Items,
-    trusted: Items = NO_ITEMS,
-    base: Snapshot = EMPTY,
+    base_items: Items = NO_ITEMS,
+    base: Snapshot = EMPTY_SNAPSHOT,
 ) -> Result[Snapshot, list[Problem]]:
-    """Build a snapshot aside, or return why this version can't be applied.
+    """Build the snapshot of a version, or return the problems that make it invalid.
 
-    The trusted items are those that the base was built from; what did not change is taken over
-    from it, so that a version costs what it changes.
+    The base is a snapshot built from the base items. Unchanged objects are reused from it, so
+    that the cost depends on the number of changed items.
     """
-    problems = validate(items, f"version {version}", trusted)
+    problems = validate(items, f"version {version}", base_items)
     if problems:
         return Err(problems)
     services = frozenset(key.partition("/")[2] for key in items if key.startswith("service/"))
-    entries = _entries(items, trusted, base)
-    routes, paths = _routes(items, entries, trusted, base), _health_paths(items)
-    return Ok(Snapshot(version, digest, services, entries, routes, paths))
+    entries = _entries(items, base_items, base)
+    routes, health_paths = _routes(items, entries, base_items, base), _health_paths(items)
+    return Ok(Snapshot(version, digest, services, entries, routes, health_paths))
 
 
-def _prefixes_of(path: str) -> Iterator[str]:
-    """Return what a route's prefix must be to cover a path, the longest first."""
+def _candidate_prefixes(path: str) -> Iterator[str]:
+    """Yield the route prefixes that match a path, the longest first."""
     yield path
-    end = min(len(path), MAX_PREFIX + 1)
+    end = min(len(path), MAX_PREFIX_LENGTH + 1)
     while (end := path.rfind("/", 0, end)) >= 0:
         yield path[: end + 1]
         yield path[:end]
 
 
-def _takes(route: Route, method: str) -> bool:
-    """Return whether a route takes a method; one that takes GET takes HEAD (RFC 9110, 9.3.2)."""
+def _accepts(route: Route, method: str) -> bool:
+    """Return whether a route accepts a method; GET implies HEAD (RFC 9110, section 9.3.2)."""
     if ANY_METHOD in route.methods or method in route.methods:
         return True
     return method == "HEAD" and "GET" in route.methods
 
 
-def match(snapshot: Snapshot, host: str, method: str, target: str) -> Route | None:
-    """Return the route with the longest prefix that takes this request."""
+def match_route(snapshot: Snapshot, host: str, method: str, target: str) -> Route | None:
+    """Return the route with the longest prefix that accepts the request, or None."""
     routes_by_prefix = snapshot.routes_by_host.get(host.partition(":")[0].lower())
     if routes_by_prefix is None:
         return None
-    for prefix in _prefixes_of(target.partition("?")[0]):
+    for prefix in _candidate_prefixes(target.partition("?")[0]):
         for route in routes_by_prefix.get(prefix, ()):
-            if _takes(route, method):
+            if _accepts(route, method):
                 return route
     return None
--- a/hornbeamgw/core/versions.py
+++ b/hornbeamgw/core/versions.py
@@ -14,7 +14,7 @@
 from hornbeamgw.core.catalogue import NO_ITEMS, Item, Items, compute_digest
 from hornbeamgw.core.edit import GENESIS, Catalogue, Delta, decode_delta, extend, parent_of
 from hornbeamgw.core.problems import Problem
-from hornbeamgw.core.snapshot import EMPTY, Snapshot, build
+from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, Snapshot, build_snapshot
 
 KEPT_DELTAS = 256
 KEPT_ARRIVALS = 512
@@ -66,7 +66,7 @@
     def __init__(self) -> None:
         """Start with nothing: no floor, the empty catalogue."""
         self.catalogue: Catalogue = GENESIS
-        self.snapshot: Snapshot = EMPTY
+        self.snapshot: Snapshot = EMPTY_SNAPSHOT
         self.built_items: Items = NO_ITEMS
         self.floor: int | None = None
         self.deltas_by_version: dict[int, bytes] = {}
@@ -92,7 +92,9 @@
         return None
     if known.version <= state.snapshot.version or known.version in state.rejected_by_version:
         return None
-    built = build(known.version, known.digest, known.items, state.built_items, state.snapshot)
+    built = build_snapshot(
+        known.version, known.digest, known.items, state.built_items, state.snapshot
+    )
     if isinstance(built, Err):
         state.rejected_by_version[known.version] = built.err_value
         return None
--- a/hornbeamgw/daemon/admin.py
+++ b/hornbeamgw/daemon/admin.py
@@ -20,7 +20,7 @@
 from hornbeamgw.core.fingerprint import as_text
 from hornbeamgw.core.membership import ServerState, with_each_server
 from hornbeamgw.core.problems import Problem, check_mapping
-from hornbeamgw.core.snapshot import match
+from hornbeamgw.core.snapshot import match_route
 from hornbeamgw.daemon import exposition
 from hornbeamgw.daemon.calls import Calls
 from hornbeamgw.daemon.committer import Committed, Committer
@@ -205,7 +205,7 @@
     async def _explain(self, query: Query, body: bytes) -> tuple[int, Any]:
         snapshot = self._control.versions.snapshot
         host, method = query.get("host", ""), query.get("method", "GET")
-        route = match(snapshot, host, method, query.get("path", "/"))
+        route = match_route(snapshot, host, method, query.get("path", "/"))
         document: dict[str, Any] = {"version": snapshot.version}
         if route is None:
             known = sorted(snapshot.routes_by_host)
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -26,7 +26,7 @@
 from hornbeamgw.core.exposure import ExposureState
 from hornbeamgw.core.retry_budget import BudgetState
 from hornbeamgw.core.returns import ReturnState
-from hornbeamgw.core.snapshot import match
+from hornbeamgw.core.snapshot import match_route
 from hornbeamgw.core.split import SplitState
 from hornbeamgw.core.target import parse_target
 from hornbeamgw.core.verdict import Failure, Reason, Verdict, may_have_run, not_run
@@ -217,7 +217,7 @@
             host, target = parse_target(request.target.decode("latin-1"), host)
         except ValueError as error:
             raise BadRequest(400, str(error)) from None
-        route = match(view.snapshot, host, method, target)
+        route = match_route(view.snapshot, host, method, target)
         if route is None:
             return not_run(Reason.NO_ROUTE, f"{method} {host}{target.partition('?')[0]}")
         allowed = number_of(request, self._dialect.deadline_ms, route.deadline_ms)
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -232,7 +232,8 @@
             for routes_by_prefix in snapshot.routes_by_host.values()
             for routes in routes_by_prefix.values()
             for route in routes
-            if route.entry.limits.reserved and any(part.service == service for part in route.parts)
+            if route.entry.limits.reserved
+            and any(part.service == service for part in route.destinations)
         }
 
     def _on_call(self, link: Link, call: frames.Call) -> None:
