--- a/features/steps/catalogue.py
+++ b/features/steps/catalogue.py
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from hornbeamgw.core.catalogue import Item, parse_file, validate
-from hornbeamgw.core.edit import GENESIS, Change, Edit, accept, extend
+from hornbeamgw.core.edit import EMPTY_CATALOGUE, Change, Edit, accept, apply_delta
 
 
 def entry(name, slots=1):
@@ -56,14 +56,14 @@
 
 @given("a catalogue with entries a and b")
 def two_entries(context):
-    delta = accept(GENESIS, edit_of("e0", ("a", 0, 1), ("b", 0, 1)), 0).unwrap()
-    context.catalogue = extend(GENESIS, delta).unwrap()
+    delta = accept(EMPTY_CATALOGUE, edit_of("e0", ("a", 0, 1), ("b", 0, 1)), 0).unwrap()
+    context.catalogue = apply_delta(EMPTY_CATALOGUE, delta).unwrap()
 
 
 @when("operator 1 edits {first} and operator 2 edits {second} from the same base")
 def race(context, first, second):
     context.first = accept(context.catalogue, edit_of("e1", (first, 1, 2)), 0)
-    after = extend(context.catalogue, context.first.unwrap()).unwrap()
+    after = apply_delta(context.catalogue, context.first.unwrap()).unwrap()
     context.second = accept(after, edit_of("e2", (second, 1, 3)), 0)
 
 
--- a/features/steps/spreading.py
+++ b/features/steps/spreading.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from hornbeamgw.core import edit, membership, node, rendezvous, spreading, versions
-from hornbeamgw.core.edit import GENESIS, Change, Edit
+from hornbeamgw.core.edit import EMPTY_CATALOGUE, Change, Edit
 from hornbeamgw.core.membership import Member, Status, Timing
 from hornbeamgw.core.node import Envelope, Moment, Node
 from hornbeamgw.core.spreading import Have
@@ -30,7 +30,7 @@
         node.set_floor(held, 0, "start", Moment(0.0, 0.0))
     change = Change(key="entry/e", based_on=0, body=BODY)
     wanted = Edit(edit_id="e", author="t", changes=[change])
-    context.blob = edit.encode_delta(edit.accept(GENESIS, wanted, 0).unwrap())
+    context.blob = edit.encode_delta(edit.accept(EMPTY_CATALOGUE, wanted, 0).unwrap())
     context.queue = deque()
     context.sent = Counter()
 
@@ -137,7 +137,7 @@
         bodies[f"route/{name}"] = route | {"entry": "e", "idempotent": True, "deadline_ms": 500}
     changes = [Change(key=key, based_on=0, body=body) for key, body in bodies.items()]
     wanted = Edit(edit_id="many", author="t", changes=changes)
-    context.blob = edit.encode_delta(edit.accept(GENESIS, wanted, 0).unwrap())
+    context.blob = edit.encode_delta(edit.accept(EMPTY_CATALOGUE, wanted, 0).unwrap())
     commit(context)
 
 
--- a/hornbeamgw/commands/catalogue.py
+++ b/hornbeamgw/commands/catalogue.py
@@ -19,7 +19,7 @@
 from hornbeamgw.commands.exits import ExitCode
 from hornbeamgw.commands.output import fail, fail_with_problems, print_json, print_rows, read_file
 from hornbeamgw.core.catalogue import Item, ParsedFile, parse_file, validate
-from hornbeamgw.core.edit import Catalogue, Change, Edit, changes_of
+from hornbeamgw.core.edit import Catalogue, Change, Edit, requested_changes
 from hornbeamgw.daemon.http1 import ConnectionLost
 
 SEND_TRIES = 5
@@ -95,7 +95,7 @@
     def __call__(self) -> None:
         """Show them."""
         current = _fetch(self.daemon)
-        changes = changes_of(current, _parse(self.file), self.prune, True)
+        changes = requested_changes(current, _parse(self.file), self.prune, True)
         rows = [_difference(current, change) for change in changes]
         print_rows(rows, ("key", "what", "current", "wanted"), self.output)
 
@@ -142,7 +142,7 @@
     def __call__(self) -> None:
         """Apply it, and name the laggards where it is not in force in time."""
         parsed = _parse(self.file)
-        changes = changes_of(_fetch(self.daemon), parsed, self.prune, self.onto_current)
+        changes = requested_changes(_fetch(self.daemon), parsed, self.prune, self.onto_current)
         edit_id = self.edit_id or uuid.uuid4().hex
         if not changes and not self.edit_id:
             self._say({"version": _fetch(self.daemon).version, "changes": 0})
--- a/hornbeamgw/core/commit.py
+++ b/hornbeamgw/core/commit.py
@@ -1,4 +1,8 @@
-"""Commit: what an accepted edit writes, and what an answer of the platform means."""
+"""Commit of a catalogue version: rows and transaction that store a delta in the platform table.
+
+The head row names the newest version. It is replaced conditionally, so that concurrent commits
+of the same version cannot both succeed.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +15,12 @@
 from hornbeamgw.core.table import Condition, Write
 
 HEAD_KEY = "head"
-SNAPSHOT_EVERY = 16
-KEPT_DELTA_ROWS = 64
+SNAPSHOT_INTERVAL_VERSIONS = 16
+RETAINED_DELTA_ROWS = 64
 
 
 class Head(TypedDict):
-    """Hold the newest version and where the whole of a recent one is kept."""
+    """Newest version, and the version and object name of the newest stored snapshot."""
 
     version: int
     digest: str
@@ -28,36 +32,36 @@
 
 
 def delta_key(version: int) -> str:
-    """Return the row key of a delta."""
+    """Return the row key of the delta of a version."""
     return f"delta-{version:012d}"
 
 
 def decode_head(value: bytes | None) -> Head:
-    """Return the head in a row; a row that is not there is version 0."""
+    """Decode the value of the head row; a missing row (None) means version 0."""
     return EMPTY_HEAD if value is None else msgspec.json.decode(value, type=Head)
 
 
 def snapshot_name(digest: str) -> str:
-    """Return the object name of a whole catalogue: the digest of its content."""
+    """Return the object name of a stored catalogue, derived from its digest."""
     return f"snapshot-{digest}"
 
 
 def is_snapshot_due(head: Head, version: int) -> bool:
-    """Return whether this version should be stored whole."""
-    return version - head["snapshot_version"] >= SNAPSHOT_EVERY
+    """Return whether a snapshot of this version should be stored besides its delta."""
+    return version - head["snapshot_version"] >= SNAPSHOT_INTERVAL_VERSIONS
 
 
 class Plan(NamedTuple):
-    """Hold the one transaction that makes a delta the next version."""
+    """Transaction that commits a delta, and the resulting head."""
 
     writes: Sequence[Write]
     head: Head
 
 
 def plan(head: Head, head_etag: str | None, delta: Delta, with_snapshot: bool) -> Plan:
-    """Return the conditional transaction that moves the head from N to N+1."""
+    """Return the conditional transaction that commits a delta and replaces the head."""
     version = delta["version"]
-    moved = Head(
+    new_head = Head(
         version=version,
         digest=delta["digest"],
         snapshot_version=version if with_snapshot else head["snapshot_version"],
@@ -65,20 +69,20 @@
     )
     absent = Condition(etag=None)
     writes = [
-        Write(HEAD_KEY, msgspec.json.encode(moved), Condition(etag=head_etag)),
+        Write(HEAD_KEY, msgspec.json.encode(new_head), Condition(etag=head_etag)),
         Write(delta_key(version), encode_delta(delta), absent),
     ]
-    expired = version - KEPT_DELTA_ROWS
+    expired = version - RETAINED_DELTA_ROWS
     if 0 < expired <= head["snapshot_version"]:
         writes.append(Write(delta_key(expired), None, None))
-    return Plan(writes, moved)
+    return Plan(writes, new_head)
 
 
 def find_edit(deltas: Sequence[Delta], edit_id: str) -> Delta | None:
-    """Return the delta that an edit became, where it is among these."""
+    """Return the delta that was accepted from an edit, or None if it is not among these."""
     return next((delta for delta in deltas if delta["edit_id"] == edit_id), None)
 
 
-def can_follow(catalogue: Catalogue, head: Head) -> bool:
-    """Return whether a catalogue is the one that the head names."""
+def is_at_head(catalogue: Catalogue, head: Head) -> bool:
+    """Return whether a catalogue has the version that the head names."""
     return catalogue.version == head["version"]
--- a/hornbeamgw/core/edit.py
+++ b/hornbeamgw/core/edit.py
@@ -1,4 +1,4 @@
-"""Edits and deltas: how one version of the catalogue becomes the next."""
+"""Edits that operators submit, and the deltas between catalogue versions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Change(TypedDict):
-    """Hold a new body (or None to delete) and the revision that it was based on."""
+    """Requested new body of an item, or None to delete it, and the revision it is based on."""
 
     key: str
     based_on: int
@@ -28,7 +28,7 @@
 
 
 class Edit(TypedDict):
-    """Hold what an operator asks for, under an id that is never used twice."""
+    """Set of changes that an operator submits under a unique id."""
 
     edit_id: str
     author: str
@@ -36,17 +36,17 @@
 
 
 class DeltaChange(TypedDict):
-    """Hold the new body of one item, or None where it was deleted."""
+    """New body of an item, or None if it was deleted."""
 
     key: str
     body: dict[str, Any] | None
 
 
 class Delta(TypedDict):
-    """Hold an accepted version as the difference from its parent.
+    """Accepted version, as the difference from its parent version.
 
-    Versions of an outside source rise unevenly, so such a delta names its parent; and since
-    daemons may see different ones of them, its items bear no revision.
+    Versions of an external source are not consecutive, so their deltas name the parent version.
+    Daemons may observe different subsets of these versions, so the items have no revision.
     """
 
     version: int
@@ -60,7 +60,7 @@
 
 
 class Conflict(NamedTuple):
-    """Show both sides of an edit whose base is no longer current."""
+    """Change whose base revision is not current, with the current and the requested body."""
 
     key: str
     based_on: int
@@ -70,14 +70,14 @@
 
 
 class Rejection(NamedTuple):
-    """Say why an edit can't be accepted."""
+    """Reasons for rejecting an edit: conflicts or validation problems."""
 
     conflicts: Sequence[Conflict] = ()
     problems: Sequence[Problem] = ()
 
 
 class Catalogue(NamedTuple):
-    """Hold every item of one version, with its digest."""
+    """All items of one catalogue version, with their digest."""
 
     version: int
     digest: str
@@ -85,44 +85,44 @@
 
 
 NO_REVISION = 0
-GENESIS = Catalogue(0, compute_digest({}), {})
+EMPTY_CATALOGUE = Catalogue(0, compute_digest({}), {})
 
 
-def _merged(items: Items, version: int, changes: Sequence[Any]) -> dict[str, Item]:
-    merged = dict(items)
+def _apply_changes(items: Items, version: int, changes: Sequence[Any]) -> dict[str, Item]:
+    updated = dict(items)
     for change in changes:
         if change["body"] is None:
-            merged.pop(change["key"], None)
+            updated.pop(change["key"], None)
         else:
-            merged[change["key"]] = Item(version, change["body"])
-    return merged
+            updated[change["key"]] = Item(version, change["body"])
+    return updated
 
 
-def _digest_after(catalogue: Catalogue, items: Items, changes: Sequence[Any]) -> str:
+def _updated_digest(catalogue: Catalogue, items: Items, changes: Sequence[Any]) -> str:
     keys = {change["key"] for change in changes}
     return update_digest(catalogue.digest, catalogue.items, items, keys)
 
 
-def conflicts_of(catalogue: Catalogue, edit: Edit) -> list[Conflict]:
-    """Return the changes whose base revision is not the current one."""
-    found = []
+def find_conflicts(catalogue: Catalogue, edit: Edit) -> list[Conflict]:
+    """Return a conflict for each change whose base revision is not the current one."""
+    conflicts = []
     for change in edit["changes"]:
         current = catalogue.items.get(change["key"])
         revision = current.revision if current else 0
         if revision != change["based_on"]:
             body = current.body if current else None
             conflict = Conflict(change["key"], change["based_on"], revision, body, change["body"])
-            found.append(conflict)
-    return found
+            conflicts.append(conflict)
+    return conflicts
 
 
 def accept(catalogue: Catalogue, edit: Edit, at_ms: int) -> Result[Delta, Rejection]:
-    """Return the delta that makes an edit the next version, or why it can't be."""
-    conflicts = conflicts_of(catalogue, edit)
+    """Return the delta that turns an edit into the next version, or the reasons to reject it."""
+    conflicts = find_conflicts(catalogue, edit)
     if conflicts:
         return Err(Rejection(conflicts=conflicts))
     version = catalogue.version + 1
-    items = _merged(catalogue.items, version, edit["changes"])
+    items = _apply_changes(catalogue.items, version, edit["changes"])
     problems = validate(items, f"edit {edit['edit_id']}")
     if problems:
         return Err(Rejection(problems=problems))
@@ -133,59 +133,65 @@
         author=edit["author"],
         at_ms=at_ms,
         parent_digest=catalogue.digest,
-        digest=_digest_after(catalogue, items, changes),
+        digest=_updated_digest(catalogue, items, changes),
         changes=changes,
     )
     return Ok(delta)
 
 
-def parent_of(delta: Delta) -> int:
-    """Return the version that a delta follows."""
+def parent_version_of(delta: Delta) -> int:
+    """Return the version that a delta applies to."""
     return delta.get("parent_version", delta["version"] - 1)
 
 
-def extend(catalogue: Catalogue, delta: Delta) -> Result[Catalogue, str]:
-    """Return the catalogue after a delta, or why the delta does not follow from it."""
-    if parent_of(delta) != catalogue.version or delta["version"] <= catalogue.version:
+def apply_delta(catalogue: Catalogue, delta: Delta) -> Result[Catalogue, str]:
+    """Return the catalogue with a delta applied, or why the delta does not apply to it."""
+    if parent_version_of(delta) != catalogue.version or delta["version"] <= catalogue.version:
         return Err(f"delta {delta['version']} does not follow version {catalogue.version}")
     if delta["parent_digest"] != catalogue.digest:
         return Err(f"delta {delta['version']} has another parent digest")
     revision = NO_REVISION if "parent_version" in delta else delta["version"]
-    items = _merged(catalogue.items, revision, delta["changes"])
-    if _digest_after(catalogue, items, delta["changes"]) != delta["digest"]:
+    items = _apply_changes(catalogue.items, revision, delta["changes"])
+    if _updated_digest(catalogue, items, delta["changes"]) != delta["digest"]:
         return Err(f"delta {delta['version']} does not give the digest that it names")
     return Ok(Catalogue(delta["version"], delta["digest"], items))
 
 
-def replace(catalogue: Catalogue, version: int, bodies: Mapping[str, Any], at_ms: int) -> Delta:
-    """Return the delta that puts a whole version of an outside source in place of the known one.
+def replacement_delta(
+    catalogue: Catalogue, version: int, bodies: Mapping[str, Any], at_ms: int
+) -> Delta:
+    """Return the delta from the current catalogue to a whole version of an external source.
 
-    An item whose body is unchanged keeps its identity, so that nothing looks at it again.
+    Items with an unchanged body are left out, so they are not validated or compiled again.
     """
-    known = catalogue.items
+    current_items = catalogue.items
     changes = [
         DeltaChange(key=key, body=body)
         for key, body in bodies.items()
-        if key not in known or known[key].body != body
+        if key not in current_items or current_items[key].body != body
     ]
-    changes += [DeltaChange(key=key, body=None) for key in known if key not in bodies]
-    items = _merged(known, NO_REVISION, changes)
+    changes += [DeltaChange(key=key, body=None) for key in current_items if key not in bodies]
+    items = _apply_changes(current_items, NO_REVISION, changes)
     return Delta(
         version=version,
         edit_id=f"outside-{version}",
         author="outside",
         at_ms=at_ms,
         parent_digest=catalogue.digest,
-        digest=_digest_after(catalogue, items, changes),
+        digest=_updated_digest(catalogue, items, changes),
         changes=changes,
         parent_version=catalogue.version,
     )
 
 
-def changes_of(
+def requested_changes(
     current: Catalogue, wanted: ParsedFile, prune: bool, onto_current: bool
 ) -> list[Change]:
-    """Return the changes that a file asks for, with the revisions that it was based on."""
+    """Return the changes from the current catalogue to a file, with their base revisions.
+
+    With `prune`, items that the file lacks are deleted. With `onto_current`, changes are based on
+    the current revisions instead of those that the file states.
+    """
     changes = []
     for key, body in wanted.bodies_by_key.items():
         item = current.items.get(key)
@@ -200,17 +206,19 @@
     for key, item in current.items.items():
         if key in wanted.bodies_by_key:
             continue
-        seen = onto_current or (wanted.version is not None and item.revision <= wanted.version)
-        based_on = item.revision if seen else 0
+        seen_by_author = onto_current or (
+            wanted.version is not None and item.revision <= wanted.version
+        )
+        based_on = item.revision if seen_by_author else 0
         changes.append(Change(key=key, based_on=based_on, body=None))
     return changes
 
 
 def encode_delta(delta: Delta) -> bytes:
-    """Return a delta as it is stored and sent."""
+    """Return the encoding of a delta for storage and messages."""
     return msgspec.json.encode(delta)
 
 
 def decode_delta(blob: bytes) -> Delta:
-    """Return the delta in a blob; raise msgspec.MsgspecError where it is none."""
+    """Decode a delta; raise msgspec.MsgspecError if the data is not a valid delta."""
     return msgspec.json.decode(blob, type=Delta)
--- a/hornbeamgw/core/node.py
+++ b/hornbeamgw/core/node.py
@@ -238,7 +238,7 @@
     known = node.versions.catalogue
     if version <= known.version:
         return False, []
-    delta = edit.replace(known, version, bodies, round(moment.wall * 1000))
+    delta = edit.replacement_delta(known, version, bodies, round(moment.wall * 1000))
     return learn_deltas(node, [edit.encode_delta(delta)], origin, moment)
 
 
--- a/hornbeamgw/core/versions.py
+++ b/hornbeamgw/core/versions.py
@@ -12,7 +12,14 @@
 
 from hornbeamgw.core import invariants
 from hornbeamgw.core.catalogue import NO_ITEMS, Item, Items, compute_digest
-from hornbeamgw.core.edit import GENESIS, Catalogue, Delta, decode_delta, extend, parent_of
+from hornbeamgw.core.edit import (
+    EMPTY_CATALOGUE,
+    Catalogue,
+    Delta,
+    apply_delta,
+    decode_delta,
+    parent_version_of,
+)
 from hornbeamgw.core.problems import Problem
 from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, Snapshot, build_snapshot
 
@@ -65,7 +72,7 @@
 
     def __init__(self) -> None:
         """Start with nothing: no floor, the empty catalogue."""
-        self.catalogue: Catalogue = GENESIS
+        self.catalogue: Catalogue = EMPTY_CATALOGUE
         self.snapshot: Snapshot = EMPTY_SNAPSHOT
         self.built_items: Items = NO_ITEMS
         self.floor: int | None = None
@@ -126,7 +133,7 @@
         if delta["version"] <= state.catalogue.version:
             stale += 1
             continue
-        extended = extend(state.catalogue, delta)
+        extended = apply_delta(state.catalogue, delta)
         if isinstance(extended, Err):
             fault = extended.err_value
             break
@@ -140,7 +147,7 @@
 ) -> None:
     state.catalogue = known
     state.deltas_by_version[known.version] = blob
-    state.parents_by_version[known.version] = parent_of(delta)
+    state.parents_by_version[known.version] = parent_version_of(delta)
     _trim(state.deltas_by_version, KEPT_DELTAS)
     _trim(state.parents_by_version, KEPT_DELTAS)
     arrival = Arrival(known.version, now, origin.path, origin.sender, len(blob))
--- a/hornbeamgw/daemon/committer.py
+++ b/hornbeamgw/daemon/committer.py
@@ -88,7 +88,7 @@
         if earlier is not None:
             return Committed(earlier["version"])
         known = self._control.versions.catalogue
-        if not commit.can_follow(known, head):
+        if not commit.is_at_head(known, head):
             return None
         accepted = edit.accept(known, wanted, round(time.time() * 1000))
         if isinstance(accepted, Err):
@@ -104,7 +104,7 @@
     async def _write(self, head: Head, etag: str | None, delta: Delta) -> bool:
         with_snapshot = commit.is_snapshot_due(head, delta["version"])
         if with_snapshot:
-            extended = edit.extend(self._control.versions.catalogue, delta)
+            extended = edit.apply_delta(self._control.versions.catalogue, delta)
             blob = versions.encode_catalogue(extended.unwrap())
             await self._objects.put(commit.snapshot_name(delta["digest"]), blob)
         plan = commit.plan(head, etag, delta, with_snapshot)
--- a/hornbeamgw/testing/demo.py
+++ b/hornbeamgw/testing/demo.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from hornbeamgw.core.catalogue import ParsedFile, parse_file
-from hornbeamgw.core.edit import GENESIS, Change, Edit, changes_of
+from hornbeamgw.core.edit import EMPTY_CATALOGUE, Change, Edit, requested_changes
 from hornbeamgw.daemon.http1 import HttpClient
 from hornbeamgw.testing.fleet import Fleet, Node, Place, ask
 from hornbeamgw.testing.load import KINDS, Load, audit, call
@@ -56,7 +56,7 @@
         parsed, problems = parse_file(Path(path).read_text(encoding="utf-8"), path)
         assert not problems, problems
         bodies |= parsed.bodies_by_key
-    changes = changes_of(GENESIS, ParsedFile(bodies, {}, None), False, True)
+    changes = requested_changes(EMPTY_CATALOGUE, ParsedFile(bodies, {}, None), False, True)
     return Edit(edit_id=f"example-{number}", author="demo", changes=changes)
 
 
--- a/hornbeamgw/testing/local.py
+++ b/hornbeamgw/testing/local.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from hornbeamgw.core.catalogue import ParsedFile, parse_file
-from hornbeamgw.core.edit import GENESIS, Change, Edit, changes_of
+from hornbeamgw.core.edit import EMPTY_CATALOGUE, Change, Edit, requested_changes
 from hornbeamgw.core.options import Settings
 from hornbeamgw.daemon.main import Daemon
 from hornbeamgw.testing.backend import BackendOptions, StandInBackend
@@ -29,13 +29,21 @@
     """Return the edit that creates what a catalogue file holds."""
     parsed, problems = parse_file(path.read_text(encoding="utf-8"), str(path))
     assert not problems, problems
-    return Edit(edit_id=edit_id, author="test", changes=changes_of(GENESIS, parsed, False, True))
+    return Edit(
+        edit_id=edit_id,
+        author="test",
+        changes=requested_changes(EMPTY_CATALOGUE, parsed, False, True),
+    )
 
 
 def edit_from_bodies(bodies_by_key: dict[str, dict[str, Any]], edit_id: str) -> Edit:
     """Return the edit that creates items."""
     wanted = ParsedFile(bodies_by_key, {}, None)
-    return Edit(edit_id=edit_id, author="test", changes=changes_of(GENESIS, wanted, False, True))
+    return Edit(
+        edit_id=edit_id,
+        author="test",
+        changes=requested_changes(EMPTY_CATALOGUE, wanted, False, True),
+    )
 
 
 def limit_edit(daemon: Daemon, key: str, queue: int, edit_id: str) -> Edit:
--- a/properties/fleet_machine.py
+++ b/properties/fleet_machine.py
@@ -82,7 +82,7 @@
         self.pending_writes: list[PendingWrite] = []
         self.held: dict[str, int] = {}
         self.digests_by_version: dict[int, str] = {}
-        self.newest = edit.GENESIS
+        self.newest = edit.EMPTY_CATALOGUE
         self.deltas: list[bytes] = []
         self.wholes: list[bytes] = []
         self.incarnation = 1
@@ -230,7 +230,7 @@
         row = self.platform.rows_by_key.get(commit.HEAD_KEY)
         head = commit.decode_head(row.value if row else None)
         known = held.versions.catalogue
-        if not commit.can_follow(known, head):
+        if not commit.is_at_head(known, head):
             return
         number = self.rng.randrange(3)
         key = f"entry/e{number}"
@@ -265,7 +265,7 @@
         head = commit.decode_head(row.value if row else None)
         if head["version"] > len(self.deltas):
             self.deltas.append(self.platform.rows_by_key[commit.delta_key(head["version"])].value)
-            followed = edit.extend(self.newest, edit.decode_delta(self.deltas[-1]))
+            followed = edit.apply_delta(self.newest, edit.decode_delta(self.deltas[-1]))
             self.newest = followed.unwrap()
             self.wholes.append(versions.encode_catalogue(self.newest))
         if head["version"]:
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -271,13 +271,13 @@
         "hornbeamgw/core/edit.py",
         (
             (
-                "if parent_of(delta) != catalogue.version or "
+                "if parent_version_of(delta) != catalogue.version or "
                 'delta["version"] <= catalogue.version:',
                 "if False:",
             ),
             ('if delta["parent_digest"] != catalogue.digest:', "if False:"),
             (
-                'if _digest_after(catalogue, items, delta["changes"]) != delta["digest"]:',
+                'if _updated_digest(catalogue, items, delta["changes"]) != delta["digest"]:',
                 "if False:",
             ),
         ),
@@ -288,8 +288,8 @@
         "hornbeamgw/core/commit.py",
         (
             (
-                "Write(HEAD_KEY, msgspec.json.encode(moved), Condition(etag=head_etag))",
-                "Write(HEAD_KEY, msgspec.json.encode(moved), None)",
+                "Write(HEAD_KEY, msgspec.json.encode(new_head), Condition(etag=head_etag))",
+                "Write(HEAD_KEY, msgspec.json.encode(new_head), None)",
             ),
             ("absent = Condition(etag=None)", "absent = None"),
         ),
