--- a/hornbeamgw/__init__.py
+++ b/hornbeamgw/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration distribution for a service mesh: catalogue, spreading, routing, admission."""
+"""Configuration distribution for a service mesh: catalogue, gossip, routing and admission."""
 
 from hornbeamgw.core.edit import Catalogue, Change, Delta, Edit
 from hornbeamgw.core.options import Settings, parse_settings
--- a/hornbeamgw/__main__.py
+++ b/hornbeamgw/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line as a module."""
+"""Entry point of `python -m hornbeamgw`."""
 
 from hornbeamgw.commands.main import main
 
--- a/hornbeamgw/commands/daemon.py
+++ b/hornbeamgw/commands/daemon.py
@@ -8,13 +8,13 @@
 import cappa
 
 from hornbeamgw.commands.output import Format, fail_with_problems, print_rows, read_file
-from hornbeamgw.core.options import Loaded, parse_settings
+from hornbeamgw.core.options import LoadedSettings, parse_settings
 
 SettingsArg = Annotated[str, cappa.Arg(long="--settings", help="YAML file with settings")]
 OutputArg = Annotated[Format, cappa.Arg(long="--output", help="table or json")]
 
 
-def _load(path: str) -> Loaded:
+def _load(path: str) -> LoadedSettings:
     loaded, problems = parse_settings(read_file(path), path)
     if loaded is None:
         fail_with_problems(problems)
--- a/hornbeamgw/core/__init__.py
+++ b/hornbeamgw/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the mesh: pure code that does no I/O and reads no clock."""
+"""Core logic of the mesh, free of I/O; callers pass in the current time."""
--- a/hornbeamgw/core/options.py
+++ b/hornbeamgw/core/options.py
@@ -1,4 +1,4 @@
-"""Options: the settings of a daemon, checked whole at start."""
+"""Daemon settings: file format, environment overrides and validation."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 import msgspec
 
 from hornbeamgw.core import balancing, slots, spreading
-from hornbeamgw.core import crossing as _crossing  # noqa: F401  (registers itself)
-from hornbeamgw.core import placement as _placement  # noqa: F401  (registers itself)
-from hornbeamgw.core import queueing as _queueing  # noqa: F401  (registers itself)
+from hornbeamgw.core import crossing as _crossing  # noqa: F401  (registers its policies)
+from hornbeamgw.core import placement as _placement  # noqa: F401  (registers its policies)
+from hornbeamgw.core import queueing as _queueing  # noqa: F401  (registers its policies)
 from hornbeamgw.core.problems import Duration, Problem, Size, check_mapping, read_yaml
 
-Text = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
+ShortText = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=100_000)]
-Figure = Annotated[float, msgspec.Meta(ge=0)]
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
 Address = Annotated[str, msgspec.Meta(pattern=r"^\S+:[0-9]{1,5}$")]
 
 ENVIRONMENT_KEYS = {
@@ -29,73 +29,73 @@
 }
 
 
-class PlatformFile(TypedDict):
-    """Hold how the platform is reached."""
+class PlatformSection(TypedDict):
+    """Connection to the platform API."""
 
     address: Address
-    adapter: NotRequired[Text]
+    adapter: NotRequired[ShortText]
     timeout: NotRequired[Duration]
     poll: NotRequired[Duration]
 
 
-class MembershipFile(TypedDict):
-    """Hold the intervals of the failure detector."""
+class MembershipSection(TypedDict):
+    """Intervals and timeouts of the failure detector."""
 
     probe_interval: NotRequired[Duration]
     ack_timeout: NotRequired[Duration]
     suspicion: NotRequired[Duration]
 
 
-class ServerFile(TypedDict):
-    """Hold what is known of the backend server beside the daemon before it announces itself."""
+class ServerSection(TypedDict):
+    """Backend server on the VM of the daemon, as assumed until the server announces itself."""
 
-    service: NotRequired[Text]
+    service: NotRequired[ShortText]
     connections: NotRequired[Count]
     announce_ttl: NotRequired[Duration]
 
 
-class BudgetFile(TypedDict):
-    """Hold how often the whole fleet may send requests of a service once more."""
+class BudgetSection(TypedDict):
+    """Retry budget of a service: a ratio of its requests, plus a constant, per window."""
 
-    ratio: NotRequired[Figure]
-    slack: NotRequired[Figure]
+    ratio: NotRequired[NonNegativeFloat]
+    slack: NotRequired[NonNegativeFloat]
     window: NotRequired[Duration]
 
 
-class RolloutsFile(TypedDict):
-    """Hold what a version on trial may get: a share of its service's requests and some more."""
+class RolloutsSection(TypedDict):
+    """Traffic limit of a version during its rollout: a share of requests, plus a constant."""
 
-    share: NotRequired[Figure]
-    slack: NotRequired[Figure]
+    share: NotRequired[NonNegativeFloat]
+    slack: NotRequired[NonNegativeFloat]
 
 
-class PluginsFile(TypedDict):
-    """Hold which plug-ins register themselves, and the folder that they lie in."""
+class PluginsSection(TypedDict):
+    """Plug-in modules to import, and the folder that contains them."""
 
-    modules: list[Text]
-    folder: NotRequired[Text]
+    modules: list[ShortText]
+    folder: NotRequired[ShortText]
 
 
-class CallsFile(TypedDict):
-    """Hold how calls are carried."""
+class CallsSection(TypedDict):
+    """Policies, limits and timeouts of calls, and the timing of a shutdown."""
 
-    balancing: NotRequired[Text]
-    dialect: NotRequired[Text]
-    queueing: NotRequired[Text]
+    balancing: NotRequired[ShortText]
+    dialect: NotRequired[ShortText]
+    queueing: NotRequired[ShortText]
     replay_limit: NotRequired[Size]
     header_timeout: NotRequired[Duration]
     idle_timeout: NotRequired[Duration]
     drain_limit: NotRequired[Duration]
     leave_after: NotRequired[Duration]
-    grace: NotRequired[Duration]  # whoever sends SIGTERM ends the process after so long
+    grace: NotRequired[Duration]  # time from SIGTERM until the supervisor kills the process
 
 
 class SettingsFile(TypedDict):
-    """Hold a settings file as an operator writes it."""
+    """Top-level structure of a settings file (YAML)."""
 
-    fleet: Text
-    data_centre: Text
-    region: Text
+    fleet: ShortText
+    data_centre: ShortText
+    region: ShortText
     address: Address
     callers: Address
     admin: Address
@@ -104,23 +104,23 @@
     metrics: NotRequired[Address]
     seeds: NotRequired[list[Address]]
     directory: NotRequired[bool]
-    first_start: NotRequired[bool]  # the whole fleet is new, and nothing was kept of it before
-    bandwidth: NotRequired[Figure]  # Mbit/s, 0 if unknown
-    source: NotRequired[Text]
-    plugins: NotRequired[PluginsFile]
-    server: NotRequired[ServerFile]
-    budget: NotRequired[BudgetFile]
-    rollouts: NotRequired[RolloutsFile]
-    platform: PlatformFile
-    membership: NotRequired[MembershipFile]
-    calls: NotRequired[CallsFile]
-    spreading: NotRequired[Text]
+    first_start: NotRequired[bool]  # the whole fleet starts for the first time, without state
+    bandwidth: NotRequired[NonNegativeFloat]  # Mbit/s, 0 if unknown
+    source: NotRequired[ShortText]
+    plugins: NotRequired[PluginsSection]
+    server: NotRequired[ServerSection]
+    budget: NotRequired[BudgetSection]
+    rollouts: NotRequired[RolloutsSection]
+    platform: PlatformSection
+    membership: NotRequired[MembershipSection]
+    calls: NotRequired[CallsSection]
+    spreading: NotRequired[ShortText]
     statsd: NotRequired[Address]
-    log_level: NotRequired[Text]
+    log_level: NotRequired[ShortText]
 
 
 class Settings(NamedTuple):
-    """Hold effective settings; durations in seconds, sizes in bytes, bandwidth in Mbit/s."""
+    """Effective settings: durations in seconds, sizes in bytes, bandwidth in Mbit/s."""
 
     fleet: str
     data_centre: str
@@ -167,8 +167,8 @@
     log_level: str = "INFO"
 
 
-class Loaded(NamedTuple):
-    """Hold settings with the source of each value."""
+class LoadedSettings(NamedTuple):
+    """Effective settings, and the source of each value (file, environment or default)."""
 
     settings: Settings
     sources_by_key: Mapping[str, str]
@@ -178,13 +178,13 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the IP number and port of an address."""
+    """Return the IP address and the port of an `ip:port` address."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 def is_address(address: str) -> bool:
-    """Return whether a text is an IP number and a port."""
+    """Return whether a text is an `ip:port` address."""
     try:
         host, port = split_address(address)
         ipaddress.ip_address(host)
@@ -193,16 +193,18 @@
     return 0 <= port <= 65_535
 
 
-def _override(document: Mapping[str, Any], environment: Mapping[str, str]) -> dict[str, Any]:
-    found = {
+def _apply_environment(
+    document: Mapping[str, Any], environment: Mapping[str, str]
+) -> dict[str, Any]:
+    overrides = {
         key: environment[name] for name, key in ENVIRONMENT_KEYS.items() if name in environment
     }
-    return {**document, **found}
+    return {**document, **overrides}
 
 
 def _source_of(key: str, source: str, environment: Mapping[str, str]) -> str:
-    for name, overridden in ENVIRONMENT_KEYS.items():
-        if key == overridden and name in environment:
+    for name, overridden_key in ENVIRONMENT_KEYS.items():
+        if key == overridden_key and name in environment:
             return f"environment {name}"
     return source
 
@@ -218,33 +220,33 @@
 
 
 def _check_addresses(flat: Mapping[str, Any], source: str) -> list[Problem]:
-    named = [(key, flat.get(key)) for key in ("address", "callers", "admin", "statsd")]
-    named += [(key, flat.get(key)) for key in ("ready", "announcements", "metrics")]
-    named.append(("platform.address", flat.get("platform_address")))
-    named += [(f"seeds[{i}]", seed) for i, seed in enumerate(flat.get("seeds", ()))]
-    expected = "an IP number and a port, such as 10.0.0.7:7400"
+    addresses = [(key, flat.get(key)) for key in ("address", "callers", "admin", "statsd")]
+    addresses += [(key, flat.get(key)) for key in ("ready", "announcements", "metrics")]
+    addresses.append(("platform.address", flat.get("platform_address")))
+    addresses += [(f"seeds[{index}]", seed) for index, seed in enumerate(flat.get("seeds", ()))]
+    expected = "an IP address and a port, such as 10.0.0.7:7400"
     return [
         Problem(source, key, value, expected)
-        for key, value in named
+        for key, value in addresses
         if value and not is_address(value)
     ]
 
 
-def _check_names(flat: Mapping[str, Any], source: str) -> list[Problem]:
+def _check_choices(flat: Mapping[str, Any], source: str) -> list[Problem]:
     problems = []
-    policy = flat.get("calls_balancing", "two_choice")
-    known = {*balancing.policies_by_name, *balancing.choosers_by_name}
-    if policy not in known:
-        expected = f"one of {sorted(known)}"
-        problems.append(Problem(source, "calls.balancing", policy, expected))
-    waiting = flat.get("calls_queueing", "deadline")
-    if waiting not in slots.policies_by_name:
+    balancing_policy = flat.get("calls_balancing", "two_choice")
+    balancing_policies = {*balancing.policies_by_name, *balancing.choosers_by_name}
+    if balancing_policy not in balancing_policies:
+        expected = f"one of {sorted(balancing_policies)}"
+        problems.append(Problem(source, "calls.balancing", balancing_policy, expected))
+    queueing_policy = flat.get("calls_queueing", "deadline")
+    if queueing_policy not in slots.policies_by_name:
         expected = f"one of {sorted(slots.policies_by_name)}"
-        problems.append(Problem(source, "calls.queueing", waiting, expected))
-    spread = flat.get("spreading", "tree")
-    if spread not in spreading.policies_by_name:
+        problems.append(Problem(source, "calls.queueing", queueing_policy, expected))
+    spreading_policy = flat.get("spreading", "tree")
+    if spreading_policy not in spreading.policies_by_name:
         expected = f"one of {sorted(spreading.policies_by_name)}"
-        problems.append(Problem(source, "spreading", spread, expected))
+        problems.append(Problem(source, "spreading", spreading_policy, expected))
     level = flat.get("log_level", "INFO")
     if level not in LOG_LEVELS:
         problems.append(Problem(source, "log_level", level, f"one of {list(LOG_LEVELS)}"))
@@ -253,19 +255,19 @@
 
 def parse_settings(
     text: str, source: str, environment: Mapping[str, str] | None = None
-) -> tuple[Loaded | None, list[Problem]]:
-    """Return effective settings, or every problem of the file and the environment."""
+) -> tuple[LoadedSettings | None, list[Problem]]:
+    """Return the effective settings, or all problems of the file and the environment."""
     environment = os.environ if environment is None else environment
     document, problems = read_yaml(text, source)
     if problems:
         return None, problems
     if isinstance(document, Mapping):
-        document = _override(document, environment)
+        document = _apply_environment(document, environment)
     values, problems = check_mapping(document, SettingsFile, source)
     if problems:
         return None, problems
     flat = _flatten(values)
-    problems = _check_addresses(flat, source) + _check_names(flat, source)
+    problems = _check_addresses(flat, source) + _check_choices(flat, source)
     if problems:
         return None, problems
     settings = Settings(**flat)
@@ -273,4 +275,4 @@
         key: _source_of(key, source, environment) if key in flat else "default"
         for key in Settings._fields
     }
-    return Loaded(settings, sources), []
+    return LoadedSettings(settings, sources), []
--- a/hornbeamgw/schema/__init__.py
+++ b/hornbeamgw/schema/__init__.py
@@ -1,1 +1,1 @@
-"""Cap'n Proto schema of the messages between daemons."""
+"""Cap'n Proto schema of the messages exchanged by daemons."""
--- a/hornbeamgw/schema/messages.capnp
+++ b/hornbeamgw/schema/messages.capnp
@@ -1,4 +1,5 @@
-# Messages between daemons: Frame on a TCP link (length-prefixed), Datagram over UDP.
+# Messages exchanged by daemons: length-prefixed Frames over TCP, Datagrams over UDP.
+# Fields ending in Ms are in milliseconds; a version is a catalogue version.
 @0xb5f0c2a41e7d9c63;
 
 struct Frame {
@@ -32,6 +33,7 @@
   dataCentre @3 :Text;
 }
 
+# Starts an attempt of a request: its head, and its body or the beginning of it.
 struct Call {
   attempt @0 :UInt64;
   callId @1 :Text;
@@ -44,17 +46,18 @@
   body @8 :Data;
   end @9 :Bool;
   route @10 :Text;
-  objectiveMs @11 :Int32;
-  aimMs @12 :UInt32;
+  objectiveMs @11 :Int32;  # remaining time of the latency objective, negative if exceeded
+  aimMs @12 :UInt32;  # whole latency objective
   priority @13 :UInt16;
   cameBack @14 :Bool;
   repeat @15 :Bool;
   limits @16 :Limits;
-  fingerprint @17 :UInt64;
-  server @18 :UInt16;
-  typicalMs @19 :UInt32;
+  fingerprint @17 :UInt64;  # hash of the request, 0 if unknown
+  server @18 :UInt16;  # number of the backend server beside the receiver
+  typicalMs @19 :UInt32;  # typical service time of such a request, 0 if unknown
 }
 
+# Asks for the expected wait of a request without admitting it.
 struct OutlookRequest {
   number @0 :UInt32;
   service @1 :Text;
@@ -76,6 +79,7 @@
   retryAfterMs @4 :UInt32;
 }
 
+# Admission limits of a catalogue entry at one backend server.
 struct Limits {
   slots @0 :UInt16;
   reserved @1 :UInt16;
@@ -100,6 +104,7 @@
   serviceMs @7 :UInt32;
 }
 
+# Ends an attempt without a response.
 struct Refusal {
   attempt @0 :UInt64;
   mayHaveRun @1 :Bool;
@@ -111,12 +116,14 @@
   waitMs @7 :UInt32;
 }
 
+# Flow control: allows the peer to send more bytes of a body.
 struct Credit {
   attempt @0 :UInt64;
   bytes @1 :UInt32;
   urgent @2 :Bool;
 }
 
+# Asks for the outcome of an attempt whose link was lost; answered by a Resolution.
 struct Question {
   attempt @0 :UInt64;
   ageMs @1 :UInt32;
@@ -128,6 +135,7 @@
   mayHaveRun @1 :Bool;
 }
 
+# Lowest version that a daemon may apply.
 struct Floor {
   version @0 :UInt64;
   confirmed @1 :Bool;
@@ -154,6 +162,7 @@
   standings @17 :List(Standing);
 }
 
+# State of the rollout of a software version of a service.
 struct Standing {
   service @0 :Text;
   target @1 :Text;
@@ -164,6 +173,7 @@
   closing @6 :UInt8;
 }
 
+# Backend server beside a daemon, other than the one described in Member itself.
 struct FurtherServer {
   number @0 :UInt16;
   service @1 :Text;
@@ -173,6 +183,7 @@
   software @5 :Text;
 }
 
+# Result of the detection of requests that crash backend servers.
 struct Finding {
   number @0 :UInt32;
   kind @1 :UInt8;
@@ -197,13 +208,14 @@
   era @12 :UInt32;
 }
 
+# Responses of a backend server since it started, and how many of them were bad, by route.
 struct Tally {
   service @0 :Text;
   server @1 :UInt16;
   software @2 :Text;
   counts @3 :List(Count);
-  closedStep @4 :UInt16;
-  unsafe @5 :UInt16;
+  closedStep @4 :UInt16;  # rollout step at which the server was closed, 0 while it is open
+  unsafe @5 :UInt16;  # non-idempotent requests that a closed server still holds
 
   struct Count {
     route @0 :Text;
@@ -212,16 +224,18 @@
   }
 }
 
+# Asks the receiver to probe the target.
 struct Indirect {
   nonce @0 :UInt32;
   target @1 :Text;
 }
 
+# Delivers a version, which the receiver forwards within the scope.
 struct Push {
   version @0 :UInt64;
   scope @1 :UInt8;
-  low @2 :Text;
-  high @3 :Text;
+  low @2 :Text;  # forward to addresses from low (inclusive)
+  high @3 :Text;  # to high (exclusive), within a data centre
   delta @4 :Data;
   parent @5 :UInt64;
 }
