--- a/features/steps/randomised.py
+++ b/features/steps/randomised.py
@@ -34,7 +34,7 @@
 @then("every kind of step happened and no invariant was violated")
 def none_violated(context):
     assert len(STEPS_BY_KIND) >= KINDS, STEPS_BY_KIND
-    assert not invariants.violations
+    assert not invariants.violations_by_name
 
 
 @when("heartbeats and farewells of many runs arrive in any order, late and twice")
--- a/features/steps/recovery.py
+++ b/features/steps/recovery.py
@@ -32,7 +32,7 @@
 
 @given("three daemons of one data centre with version 3 in force")
 def three(context):
-    invariants.violations.clear()
+    invariants.violations_by_name.clear()
     fleet = context.fleet = LocalFleet(context.scenario.name)
     context.closers.append(fleet.close)
 
@@ -132,7 +132,7 @@
     context.runner.run(all_in_force([context.late], version))
     state = context.late.control.versions
     assert state.floor == version and context.fleet.platform.reads == reads
-    assert not invariants.violations, invariants.violations
+    assert not invariants.violations_by_name, invariants.violations_by_name
 
 
 @then("it is not ready and says which peer it waits for")
@@ -185,5 +185,5 @@
 @then("no invariant was violated")
 def none_violated(context):
     assert context.version == 15
-    assert not invariants.violations, invariants.violations
+    assert not invariants.violations_by_name, invariants.violations_by_name
     assert all(d.control.versions.snapshot.version == 15 for d in context.living)
--- a/hornbeamgw/core/catalogue.py
+++ b/hornbeamgw/core/catalogue.py
@@ -148,23 +148,23 @@
     if problems:
         return ParsedFile({}, {}, None), problems
     values, problems = check_mapping(document, CatalogueFile, source)
-    bodies: dict[str, dict[str, Any]] = {}
-    revisions: dict[str, int] = {}
+    bodies_by_key: dict[str, dict[str, Any]] = {}
+    revisions_by_key: dict[str, int] = {}
     for kind, section in SECTIONS_BY_KIND.items():
         for index, raw in enumerate(values.get(section) or []):
             body = dict(raw)
             path = f"{section}[{index}]"
             revision = body.pop("revision", None)
             key = f"{kind}/{body.get('name')}"
-            if key in bodies:
+            if key in bodies_by_key:
                 problems.append(Problem(source, f"{path}.name", body["name"], "a unique name"))
             if revision is not None and (not isinstance(revision, int) or revision < 0):
                 problems.append(Problem(source, f"{path}.revision", revision, "an int >= 0"))
             elif revision is not None:
-                revisions[key] = revision
-            bodies[key] = body
+                revisions_by_key[key] = revision
+            bodies_by_key[key] = body
             problems += check_body(key, body, source, path)
-    return ParsedFile(bodies, revisions, values.get("version")), problems
+    return ParsedFile(bodies_by_key, revisions_by_key, values.get("version")), problems
 
 
 def check_body(key: str, body: object, source: str, path: str) -> list[Problem]:
--- a/hornbeamgw/core/edit.py
+++ b/hornbeamgw/core/edit.py
@@ -158,7 +158,7 @@
 
 
 def replacement_delta(
-    catalogue: Catalogue, version: int, bodies: Mapping[str, Any], at_ms: int
+    catalogue: Catalogue, version: int, bodies_by_key: Mapping[str, Any], at_ms: int
 ) -> Delta:
     """Return the delta from the current catalogue to a whole version of an external source.
 
@@ -167,10 +167,12 @@
     current_items = catalogue.items
     changes = [
         DeltaChange(key=key, body=body)
-        for key, body in bodies.items()
+        for key, body in bodies_by_key.items()
         if key not in current_items or current_items[key].body != body
     ]
-    changes += [DeltaChange(key=key, body=None) for key in current_items if key not in bodies]
+    changes += [
+        DeltaChange(key=key, body=None) for key in current_items if key not in bodies_by_key
+    ]
     items = _apply_changes(current_items, NO_REVISION, changes)
     return Delta(
         version=version,
--- a/hornbeamgw/core/invariants.py
+++ b/hornbeamgw/core/invariants.py
@@ -12,13 +12,13 @@
 ONE_CATALOGUE_PER_VERSION = "one_catalogue_per_version"
 AT_OR_ABOVE_FLOOR = "at_or_above_floor"
 
-violations: Counter[str] = Counter()
+violations_by_name: Counter[str] = Counter()
 
 
 def check(name: str, holds: bool) -> bool:
-    """Count a violation where an invariant does not hold, and return whether it holds."""
+    """Record a violation if an invariant does not hold, and return whether it holds."""
     if not holds:
-        violations[name] += 1
+        violations_by_name[name] += 1
     return holds
 
 
--- a/properties/fleet_machine.py
+++ b/properties/fleet_machine.py
@@ -95,7 +95,7 @@
     @initialize(seed=seeds)
     def start(self, seed: int) -> None:
         """Start every node with a full view and the floor of an empty catalogue."""
-        invariants.violations.clear()
+        invariants.violations_by_name.clear()
         self.rng = random.Random(seed)
         for index in range(NODES):
             self._boot(f"n{index}")
@@ -409,7 +409,7 @@
         self.knowledge_grows()
         self.nothing_reverts()
         self.only_what_was_committed()
-        assert not invariants.violations, invariants.violations
+        assert not invariants.violations_by_name, invariants.violations_by_name
 
     def knowledge_grows(self) -> None:
         """No process ever knows an older catalogue than before."""
