--- a/hornbeamgw/core/queueing.py
+++ b/hornbeamgw/core/queueing.py
@@ -86,7 +86,7 @@
 
 def expected_service_time(state: AdmissionState, request: Request, now: float) -> float:
     """Return the expected service time in seconds of a request that starts now."""
-    mean = service_times.expected(
+    mean = service_times.expected_time(
         state.service_time_estimates, request.route, request.latency_objective
     )
     is_measured = request.route in state.service_time_estimates.estimates_by_route
@@ -127,7 +127,7 @@
 
 def _expected_ends(state: AdmissionState, ordered: Sequence[Request], now: float) -> list[float]:
     durations = [expected_service_time(state, request, now) for request in ordered]
-    starts_at = backlog.starts(slot_free_times(state, now), durations)
+    starts_at = backlog.start_times(slot_free_times(state, now), durations)
     return [start + service_time for start, service_time in zip(starts_at, durations, strict=True)]
 
 
@@ -291,4 +291,4 @@
     if len(state.running_by_attempt) + len(state.queue) < state.slots:
         return 0.0
     durations = [expected_service_time(state, request, now) for request in state.queue]
-    return max(0.0, backlog.starts(slot_free_times(state, now), [*durations, 0.0])[-1] - now)
+    return max(0.0, backlog.start_times(slot_free_times(state, now), [*durations, 0.0])[-1] - now)
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -174,7 +174,7 @@
     Mutant(
         "less urgent requests leave budget to more urgent ones",
         "hornbeamgw/core/retry_budget.py",
-        (("        allowed *= LESS_URGENT_PART\n", "        pass\n"),),
+        (("        allowed *= LESS_URGENT_RATIO\n", "        pass\n"),),
         BUDGET,
     ),
     Mutant(
@@ -216,7 +216,7 @@
     Mutant(
         "what a call moves weighs against leaving its data centre",
         "hornbeamgw/core/crossing.py",
-        (("return size / (size + HALF_WORTH_BYTES)", "return 0.0"),),
+        (("return size / (size + HALF_VALUE_BYTES)", "return 0.0"),),
         CROSSING,
     ),
     Mutant(
@@ -228,7 +228,7 @@
     Mutant(
         "a server that breaks off all is left alone",
         "hornbeamgw/core/breaker.py",
-        (("OPEN_AFTER = 2", "OPEN_AFTER = 10**9"),),
+        (("OPEN_AFTER_LOSSES = 2", "OPEN_AFTER_LOSSES = 10**9"),),
         BREAKER,
     ),
     Mutant(
@@ -377,7 +377,7 @@
     Mutant(
         "a large answer leaves at the pace of the link",
         "hornbeamgw/core/pacing.py",
-        (("return max(0.0, state.free_at - now - BACKLOG_S)", "return 0.0"),),
+        (("return max(0.0, state.free_at - now - MAX_BACKLOG_S)", "return 0.0"),),
         PACING,
     ),
     Mutant(
@@ -394,7 +394,7 @@
     Mutant(
         "gates of one's own data centre are asked first",
         "hornbeamgw/core/sampling.py",
-        (("(c.member.data_centre == choice.me.data_centre) is is_near", "True"),),
+        (("(c.member.data_centre == choice.me.data_centre) is is_local", "True"),),
         SAMPLING,
     ),
     Mutant(
