--- a/hornbeamgw/core/versions.py
+++ b/hornbeamgw/core/versions.py
@@ -11,10 +11,17 @@
 from result import Err
 
 from hornbeamgw.core import invariants
-from hornbeamgw.core.catalogue import NO_ITEMS, Item, Items, digest_of
-from hornbeamgw.core.edit import GENESIS, Catalogue, Delta, decode_delta, extend, parent_of
+from hornbeamgw.core.catalogue import NO_ITEMS, Item, Items, compute_digest
+from hornbeamgw.core.edit import (
+    EMPTY_CATALOGUE,
+    Catalogue,
+    Delta,
+    apply_delta,
+    decode_delta,
+    parent_version_of,
+)
 from hornbeamgw.core.problems import Problem
-from hornbeamgw.core.snapshot import EMPTY, Snapshot, build
+from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, Snapshot, build_snapshot
 
 KEPT_DELTAS = 256
 KEPT_ARRIVALS = 512
@@ -65,8 +72,8 @@
 
     def __init__(self) -> None:
         """Start with nothing: no floor, the empty catalogue."""
-        self.catalogue: Catalogue = GENESIS
-        self.snapshot: Snapshot = EMPTY
+        self.catalogue: Catalogue = EMPTY_CATALOGUE
+        self.snapshot: Snapshot = EMPTY_SNAPSHOT
         self.built_items: Items = NO_ITEMS
         self.floor: int | None = None
         self.deltas_by_version: dict[int, bytes] = {}
@@ -92,7 +99,9 @@
         return None
     if known.version <= state.snapshot.version or known.version in state.rejected_by_version:
         return None
-    built = build(known.version, known.digest, known.items, state.built_items, state.snapshot)
+    built = build_snapshot(
+        known.version, known.digest, known.items, state.built_items, state.snapshot
+    )
     if isinstance(built, Err):
         state.rejected_by_version[known.version] = built.err_value
         return None
@@ -124,7 +133,7 @@
         if delta["version"] <= state.catalogue.version:
             stale += 1
             continue
-        extended = extend(state.catalogue, delta)
+        extended = apply_delta(state.catalogue, delta)
         if isinstance(extended, Err):
             fault = extended.err_value
             break
@@ -138,7 +147,7 @@
 ) -> None:
     state.catalogue = known
     state.deltas_by_version[known.version] = blob
-    state.parents_by_version[known.version] = parent_of(delta)
+    state.parents_by_version[known.version] = parent_version_of(delta)
     _trim(state.deltas_by_version, KEPT_DELTAS)
     _trim(state.parents_by_version, KEPT_DELTAS)
     arrival = Arrival(known.version, now, origin.path, origin.sender, len(blob))
@@ -181,7 +190,7 @@
     except (zlib.error, msgspec.MsgspecError) as error:
         raise ValueError(f"undecodable snapshot: {error}") from error
     items = {key: Item(revision, body) for key, (revision, body) in rows.items()}
-    return Catalogue(version, digest_of(items), items)
+    return Catalogue(version, compute_digest(items), items)
 
 
 def learn_catalogue(state: VersionState, blob: bytes, origin: Origin, now: float) -> Learned:
--- a/properties/fleet_machine.py
+++ b/properties/fleet_machine.py
@@ -22,7 +22,7 @@
 from result import Err
 
 from hornbeamgw.core import commit, edit, floor, invariants, membership, node, versions
-from hornbeamgw.core.catalogue import digest_of
+from hornbeamgw.core.catalogue import compute_digest
 from hornbeamgw.core.edit import Change, Edit
 from hornbeamgw.core.membership import Member, Timing
 from hornbeamgw.core.node import Moment, Node
@@ -82,7 +82,7 @@
         self.pending_writes: list[PendingWrite] = []
         self.held: dict[str, int] = {}
         self.digests_by_version: dict[int, str] = {}
-        self.newest = edit.GENESIS
+        self.newest = edit.EMPTY_CATALOGUE
         self.deltas: list[bytes] = []
         self.wholes: list[bytes] = []
         self.incarnation = 1
@@ -95,7 +95,7 @@
     @initialize(seed=seeds)
     def start(self, seed: int) -> None:
         """Start every node with a full view and the floor of an empty catalogue."""
-        invariants.violations.clear()
+        invariants.violations_by_name.clear()
         self.rng = random.Random(seed)
         for index in range(NODES):
             self._boot(f"n{index}")
@@ -230,7 +230,7 @@
         row = self.platform.rows_by_key.get(commit.HEAD_KEY)
         head = commit.decode_head(row.value if row else None)
         known = held.versions.catalogue
-        if not commit.can_follow(known, head):
+        if not commit.is_at_head(known, head):
             return
         number = self.rng.randrange(3)
         key = f"entry/e{number}"
@@ -265,7 +265,7 @@
         head = commit.decode_head(row.value if row else None)
         if head["version"] > len(self.deltas):
             self.deltas.append(self.platform.rows_by_key[commit.delta_key(head["version"])].value)
-            followed = edit.extend(self.newest, edit.decode_delta(self.deltas[-1]))
+            followed = edit.apply_delta(self.newest, edit.decode_delta(self.deltas[-1]))
             self.newest = followed.unwrap()
             self.wholes.append(versions.encode_catalogue(self.newest))
         if head["version"]:
@@ -409,7 +409,7 @@
         self.knowledge_grows()
         self.nothing_reverts()
         self.only_what_was_committed()
-        assert not invariants.violations, invariants.violations
+        assert not invariants.violations_by_name, invariants.violations_by_name
 
     def knowledge_grows(self) -> None:
         """No process ever knows an older catalogue than before."""
@@ -435,7 +435,7 @@
             if held is not None and held.versions.snapshot.version:
                 snapshot = held.versions.snapshot
                 assert self.digests_by_version[snapshot.version] == snapshot.digest
-                assert digest_of(held.versions.built_items) == snapshot.digest, "other items"
+                assert compute_digest(held.versions.built_items) == snapshot.digest, "other items"
                 assert invariants.dangling_routes(snapshot) == 0
 
     def teardown(self) -> None:
