--- a/features/steps/adoption.py
+++ b/features/steps/adoption.py
@@ -199,7 +199,7 @@
 @when("the server beside it changes")
 def changes(context):
     moment = node.Moment(1.0, 1.0)
-    context.effects = node.change_me(
+    context.effects = node.update_own_record(
         context.node, moment, random.Random(1), server_state=ServerState.SERVING
     )
 
--- a/features/steps/recovery.py
+++ b/features/steps/recovery.py
@@ -96,10 +96,10 @@
     blobs = [state.deltas_by_version[v] for v in (1, 2)]
     fresh = versions.VersionState()
     versions.set_floor(fresh, 1, 0.0)
-    versions.learn_deltas(fresh, blobs, versions.Origin(versions.Path.PULL, "t"), 0.0)
+    versions.learn_deltas(fresh, blobs, versions.Origin(versions.ArrivalPath.PULL, "t"), 0.0)
     control = context.fleet.daemons[1].control
     control.node.versions = fresh
-    control.node.pulls.not_before = float("inf")
+    control.node.pull_state.not_before = float("inf")
     assert fresh.snapshot.version == 2
 
 
--- a/features/steps/servers.py
+++ b/features/steps/servers.py
@@ -168,7 +168,7 @@
 
 
 def records(context):
-    return membership.with_each_server(context.view.me)
+    return membership.split_by_server(context.view.me)
 
 
 def number_of(context, name):
--- a/features/steps/spreading.py
+++ b/features/steps/spreading.py
@@ -12,7 +12,7 @@
 from hornbeamgw.core.membership import Member, Status, Timing
 from hornbeamgw.core.node import Envelope, Moment, Node
 from hornbeamgw.core.spreading import Have
-from hornbeamgw.core.versions import Origin, Path
+from hornbeamgw.core.versions import ArrivalPath, Origin
 from hornbeamgw.daemon import datagrams
 
 BODY = {"name": "e", "owner": "o", "traffic_class": "c", "limits": {"slots": 1}}
@@ -26,7 +26,7 @@
     members = [Member(f"n{i:03d}", f"dc{i % 9}", f"r{i % 3}", 1) for i in range(count)]
     context.nodes = {m.address: Node(m, Timing()) for m in members}
     for held in context.nodes.values():
-        membership.merge(held.view, members, 0.0, tell=False)
+        membership.merge(held.view, members, 0.0, propagate=False)
         node.set_floor(held, 0, "start", Moment(0.0, 0.0))
     change = Change(key="entry/e", based_on=0, body=BODY)
     wanted = Edit(edit_id="e", author="t", changes=[change])
@@ -52,7 +52,7 @@
 
 
 def learn(context, address):
-    origin = Origin(Path.COMMIT, address)
+    origin = Origin(ArrivalPath.COMMIT, address)
     return node.learn_deltas(context.nodes[address], [context.blob], origin, Moment(0.0, 0.0))[1]
 
 
@@ -78,13 +78,13 @@
     members = list(context.nodes["n000"].view.members_by_address.values())
     context.pair = [Node(members[0], Timing()), Node(members[0], Timing())]
     for held in context.pair:
-        membership.merge(held.view, members, 0.0, tell=False)
+        membership.merge(held.view, members, 0.0, propagate=False)
     context.read, reading = 0, context.pair[0].view
     for number in range(count):
         told = Envelope("n001", 0, 0, 0, some_gossip(context), Have())
         payload = datagrams.encode_datagram(1, told)
         news = datagrams.decode_datagram(
-            1, payload, lambda address, order: membership.is_news(reading, address, order)
+            1, payload, lambda address, order: membership.is_newer(reading, address, order)
         )
         context.read += len(news.gossip)
         for held, received in zip(context.pair, (news, told), strict=True):
@@ -114,7 +114,9 @@
     first = context.nodes["n000"]
     members = membership.reachable(first.view)
     scope = spreading.Scope.FLEET
-    found = spreading.tree(first.view.me, members, 1, scope, spreading.LOWEST, spreading.HIGHEST)
+    found = spreading.tree(
+        first.view.me, members, 1, scope, spreading.MIN_ADDRESS, spreading.MAX_ADDRESS
+    )
     assert len(found) >= 6, found
     for target in found:
         learn(context, target.address)
@@ -172,7 +174,7 @@
 def commit_and_follow(context):
     commit(context)
     for _ in range(10):
-        context.now += spreading.PUSH_ACK_TIMEOUT
+        context.now += spreading.PUSH_ACK_TIMEOUT_S
         for address, held in context.nodes.items():
             if address not in context.silent:
                 moment = Moment(context.now, context.now)
@@ -211,7 +213,7 @@
 @when("one node suspects another and tells it")
 def suspect(context):
     asker, suspected = context.nodes["n000"], context.nodes["n009"]
-    membership._mark(asker.view, "n009", Status.SUSPECT, 0.0)
+    membership._raise_status(asker.view, "n009", Status.SUSPECT, 0.0)
     assert asker.view.members_by_address["n009"].status is Status.SUSPECT
     effect = node.Send("n009", node.envelope(asker, "n009", membership.Probe(1)))
     post(context, [effect])
@@ -297,7 +299,7 @@
 def differing(context, size):
     members = [Member(f"n{index:03d}", "dc", "r", 1) for index in range(size)]
     context.view = membership.MembershipState(members[0], Timing())
-    membership.merge(context.view, members, 0.0, tell=False)
+    membership.merge(context.view, members, 0.0, propagate=False)
 
 
 @then(
--- a/hornbeamgw/core/balancing.py
+++ b/hornbeamgw/core/balancing.py
@@ -12,7 +12,7 @@
     ServerState,
     Status,
     server_key,
-    with_each_server,
+    split_by_server,
 )
 
 if TYPE_CHECKING:
@@ -133,7 +133,7 @@
     return [
         m
         for member in members
-        for m in with_each_server(member)
+        for m in split_by_server(member)
         if m.service == service
         and m.server_state is ServerState.SERVING
         and m.status is not Status.LEFT
--- a/hornbeamgw/core/floor.py
+++ b/hornbeamgw/core/floor.py
@@ -1,8 +1,9 @@
-"""Floor: the version below which a restarted daemon must not go.
+"""The floor: the lowest catalogue version that a restarted daemon may apply.
 
-A VM keeps nothing, so a restarted daemon does not know what its address had in force. The
-platform's head, read after the start, is never below it. While the platform is away, the peers
-of its data centre are asked: see docs/design/0004-floor.md for which ones suffice, and why.
+VMs have no persistent storage, so a restarted daemon does not know which version it had in force.
+The platform's head version, read after the start, is never below that version. While the platform
+is unavailable, the floor is determined from the peers of the data centre: docs/design/0004-floor.md
+explains which answers are sufficient.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 
 
 class FloorAnswer(NamedTuple):
-    """Hold a peer's answer: a version, and whether a read of the platform confirmed it."""
+    """A version reported by a peer, and whether a read of the platform confirmed it."""
 
     version: int
     confirmed: bool
 
 
-class Decision(NamedTuple):
-    """Hold the floor, or whom the daemon waits for until it can be sure."""
+class FloorDecision(NamedTuple):
+    """The floor, or None and a description of what the daemon waits for."""
 
     floor: int | None
     waits_for: str
@@ -27,15 +28,18 @@
 
 def decide(
     answers_by_peer: Mapping[str, FloorAnswer | None], alive_peers: frozenset[str]
-) -> Decision:
-    """Decide on the floor from the answers of all peers of the data centre; None is silence."""
+) -> FloorDecision:
+    """Determine the floor from the answers of all peers in the data centre.
+
+    The answer of a peer that did not respond is None.
+    """
     confirmed = [a.version for a in answers_by_peer.values() if a and a.confirmed]
     if confirmed:
-        return Decision(max(confirmed), "")
+        return FloorDecision(max(confirmed), "")
     for peer, answer in sorted(answers_by_peer.items()):
         if answer is None and peer in alive_peers:
-            return Decision(None, f"peer {peer}")
+            return FloorDecision(None, f"peer {peer}")
     highest = max((a.version for a in answers_by_peer.values() if a), default=0)
     if highest == 0:
-        return Decision(None, "a peer that has a version in force, or the platform")
-    return Decision(highest, "")
+        return FloorDecision(None, "a peer that has a version in force, or the platform")
+    return FloorDecision(highest, "")
--- a/hornbeamgw/core/membership.py
+++ b/hornbeamgw/core/membership.py
@@ -1,8 +1,9 @@
-"""Membership: who is in the fleet, found by probes and spread by gossip.
+"""Gossip membership and failure detection, based on SWIM (Das, Gupta, Motivala, 2002).
 
-The protocol follows SWIM (Das, Gupta, Motivala, 2002): direct probes, indirect probes,
-suspicion that the suspect can refute. A member's record also carries the state of the
-backend server beside it, and only that member writes it, ordered by (incarnation, sequence).
+Members are probed directly, then indirectly, and are suspected before they are declared dead; a
+suspected member can refute the suspicion. A member's record also carries the state of the backend
+servers on its host. Only the member itself changes its record, apart from the status; records are
+ordered by (incarnation, sequence, status).
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class Status(enum.IntEnum):
-    """Rank what is believed of a member; the higher wins at the same sequence."""
+    """Status of a member; for equal incarnation and sequence, the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -29,7 +30,7 @@
 
 
 class ServerState(enum.IntEnum):
-    """Say what the backend server beside a member is doing."""
+    """Lifecycle state of a backend server."""
 
     NONE = 0
     STARTING = 1
@@ -38,7 +39,7 @@
 
 
 class FurtherServer(NamedTuple):
-    """Hold a backend server that runs beside a daemon's first one, with its number there."""
+    """An additional backend server of a daemon; `number` identifies it within that daemon."""
 
     number: int
     service: str
@@ -49,10 +50,13 @@
 
 
 class Member(NamedTuple):
-    """Hold one daemon and the backend servers beside it; bandwidth in bytes/s, 0 if unknown.
+    """The record of one daemon and its backend servers.
 
-    What was learned of a server holds for the run that was started at that Unix time (ms). The
-    server's number tells it from others beside the same daemon; software is the version it runs.
+    `server`, `service`, `server_state`, `slots`, `server_started_ms` and `software` describe the
+    daemon's first backend server: `server` is its number within the daemon, `server_started_ms`
+    the Unix time in milliseconds at which its process started, and `software` the version that it
+    runs. `version` is the highest catalogue version that the daemon has reported, and `bandwidth`
+    is in bytes per second, 0 if unknown.
     """
 
     address: str
@@ -75,8 +79,8 @@
     standings: tuple[Standing, ...] = ()
 
 
-def with_each_server(member: Member) -> list[Member]:
-    """Return a record once for each backend server there, as if it were the only one."""
+def split_by_server(member: Member) -> list[Member]:
+    """Return one record per backend server of a member, each describing only that server."""
     if not member.further_servers:
         return [member]
     alone = member._replace(further_servers=())
@@ -95,7 +99,7 @@
 
 
 def without_servers(member: Member) -> Member:
-    """Return a record that says where a daemon is, and nothing of servers beside it."""
+    """Return a copy of a record without any backend server."""
     return member._replace(
         service="",
         server_state=ServerState.NONE,
@@ -108,24 +112,24 @@
 
 
 def server_key(member: Member) -> str:
-    """Return what tells the server that a record describes from all others of the fleet."""
+    """Return a key that identifies the record's first backend server within the fleet."""
     return f"{member.address}/{member.server}" if member.server else member.address
 
 
 class Probe(NamedTuple):
-    """Ask whether a member is there."""
+    """A liveness probe."""
 
     nonce: int
 
 
 class Ack(NamedTuple):
-    """Answer a probe."""
+    """The acknowledgement of a probe."""
 
     nonce: int
 
 
 class Indirect(NamedTuple):
-    """Ask a member to probe another one."""
+    """A request to probe `target` on behalf of the sender."""
 
     nonce: int
     target: str
@@ -135,38 +139,40 @@
 
 
 class Outgoing(NamedTuple):
-    """Hold a message and the address it goes to."""
+    """A message and its destination address."""
 
     to: str
     message: ProbeMessage
 
 
 class Timing(NamedTuple):
-    """Hold the intervals of the failure detector, in seconds."""
+    """Intervals and timeouts of the failure detector, in seconds."""
 
     probe_interval: float = 1.0
     ack_timeout: float = 0.3
-    suspicion: float = 4.0
-    forget: float = 3600.0
-
-
-INDIRECT_PROBES = 3
-GOSSIP_PER_MESSAGE = 10
-GOSSIP_FACTOR = 2
-RETRY_DEAD_ONE_IN = 10
-# A daemon that starts again while the platform's store is away knows nobody; it joins by the first
-# that speaks to it. The fleet as a whole probes a member that ended this often for this long (s): a
-# restart takes 1 to 4 s.
-RETURN_PROBES_PER_S = 4.0
-RETURN_EXPECTED_S = 30.0
-MISMATCHES_TO_RECONCILE = 6
-MISMATCH_WEIGHT_WHEN_QUIET = 2
-RECONCILE_SPACING_S = 2.0
-# While daemons restart one after another views always differ somewhere. A whole view takes both
-# sides 6 ms at 195 members; so spaced, comparing them stays under 0.1% of a core at any size.
-RECONCILE_SPACING_PER_MEMBER_S = 0.03
-KEPT_CHANGES = 256
-KEPT_NEWS = 1024  # records with findings or standings that have yet to be looked at
+    suspicion_timeout: float = 4.0
+    removal_timeout: float = 3600.0
+
+
+INDIRECT_PROBE_COUNT = 3
+MAX_GOSSIP_RECORDS = 10
+RETRANSMIT_FACTOR = 2
+# One probe in this many goes to a dead member, on average.
+DEAD_PROBE_INTERVAL_TICKS = 10
+# A daemon that restarts while the platform's store is unavailable knows no other member and joins
+# through the first one that contacts it. The fleet as a whole therefore probes each member that
+# recently went down at this average rate, for the length of this window.
+RESTART_PROBES_PER_S = 4.0
+RESTART_PROBE_WINDOW_S = 30.0
+RECONCILE_MISMATCH_THRESHOLD = 6
+# Weight of a view mismatch while no gossip is queued.
+IDLE_MISMATCH_WEIGHT = 2
+MIN_RECONCILE_INTERVAL_S = 2.0
+# The cost of exchanging full views grows with the fleet, and so does the minimum interval: during
+# a rolling restart views differ all the time.
+MIN_RECONCILE_INTERVAL_PER_MEMBER_S = 0.03
+MAX_PENDING_CHANGES = 256
+MAX_PENDING_REPORTS = 1024
 
 
 class _Pending(NamedTuple):
@@ -176,187 +182,204 @@
 
 
 def _record_hash(member: Member) -> int:
-    named = f"{member.address}|{member.incarnation}|{member.sequence}|{member.status:d}"
-    return int.from_bytes(hashlib.blake2b(named.encode(), digest_size=8).digest(), "big")
+    identity = f"{member.address}|{member.incarnation}|{member.sequence}|{member.status:d}"
+    return int.from_bytes(hashlib.blake2b(identity.encode(), digest_size=8).digest(), "big")
 
 
-class Change(NamedTuple):
-    """Hold what was believed of a member before and after."""
+class MemberChange(NamedTuple):
+    """The record of a member before and after an update."""
 
     before: Member | None
     after: Member
 
 
 class MembershipState:
-    """Hold the view of one member."""
+    """The membership view of one daemon.
+
+    `me` is the daemon's own record. `pending_reports` are records whose findings or standings have
+    changed and that have not been processed yet.
+    """
 
     def __init__(self, me: Member, timing: Timing) -> None:
-        """Start with a view of oneself alone."""
+        """Create a view that contains only the daemon's own record."""
         self.me = me
         self.timing = timing
         self.members_by_address: dict[str, Member] = {me.address: me}
         self.suspected_at_by_address: dict[str, float] = {}
-        self.ended_at_by_address: dict[str, float] = {}
+        self.down_since_by_address: dict[str, float] = {}
         self.gossip_left_by_address: dict[str, int] = {}
         self.pending_by_nonce: dict[int, _Pending] = {}
         self.relayed_by_nonce: dict[int, tuple[str, int]] = {}
         self.probe_order: list[str] = []
         self.next_nonce = 1
         self.generation = 0
-        self.changes: deque[Change] = deque(maxlen=KEPT_CHANGES)
-        self.news: deque[Member] = deque(maxlen=KEPT_NEWS)
+        self.changes: deque[MemberChange] = deque(maxlen=MAX_PENDING_CHANGES)
+        self.pending_reports: deque[Member] = deque(maxlen=MAX_PENDING_REPORTS)
         self.view_hash = _record_hash(me)
         self.mismatches = 0
-        self.reconciled_at = -RECONCILE_SPACING_S
+        self.reconciled_at = -MIN_RECONCILE_INTERVAL_S
 
 
-def _gossip_count(state: MembershipState) -> int:
-    return GOSSIP_FACTOR * max(1, math.ceil(math.log2(len(state.members_by_address) + 1) / 2))
+def _transmission_count(state: MembershipState) -> int:
+    return RETRANSMIT_FACTOR * max(1, math.ceil(math.log2(len(state.members_by_address) + 1) / 2))
 
 
-def _rehash(state: MembershipState, old: Member | None, new: Member | None) -> None:
+def _update_view_hash(state: MembershipState, old: Member | None, new: Member | None) -> None:
     for record in (old, new):
         if record is not None:
             state.view_hash ^= _record_hash(record)
 
 
-def _news_of(member: Member) -> tuple[Finding | Standing, ...]:
+def _reports_of(member: Member) -> tuple[Finding | Standing, ...]:
     return *member.findings, *member.standings
 
 
-def _decides_calls(member: Member) -> tuple[object, ...]:
-    """Return what of a record calls are decided by."""
+def _routing_fields(member: Member) -> tuple[object, ...]:
+    """Return the fields of a record that call routing depends on."""
     servers = (member.service, member.server_state, member.slots, member.further_servers)
     return member.status, *servers
 
 
-def _store(state: MembershipState, member: Member, now: float, tell: bool = True) -> None:
+def _store(state: MembershipState, member: Member, now: float, propagate: bool = True) -> None:
     address = member.address
-    held = state.members_by_address.get(address)
-    if held is None or _decides_calls(held) != _decides_calls(member):
-        state.changes.append(Change(held, member))
-    if _news_of(member) and (held is None or _news_of(held) != _news_of(member)):
-        state.news.append(member)
-    _rehash(state, held, member)
+    current = state.members_by_address.get(address)
+    if current is None or _routing_fields(current) != _routing_fields(member):
+        state.changes.append(MemberChange(current, member))
+    if _reports_of(member) and (current is None or _reports_of(current) != _reports_of(member)):
+        state.pending_reports.append(member)
+    _update_view_hash(state, current, member)
     state.members_by_address[address] = member
-    if tell:
-        state.gossip_left_by_address[address] = _gossip_count(state)
+    if propagate:
+        state.gossip_left_by_address[address] = _transmission_count(state)
     state.generation += 1
     if member.status is not Status.SUSPECT:
         state.suspected_at_by_address.pop(address, None)
     elif address not in state.suspected_at_by_address:
         state.suspected_at_by_address[address] = now
     if member.status >= Status.DEAD:
-        state.ended_at_by_address.setdefault(address, now)
+        state.down_since_by_address.setdefault(address, now)
     else:
-        state.ended_at_by_address.pop(address, None)
+        state.down_since_by_address.pop(address, None)
 
 
-def _order(member: Member) -> tuple[int, int, int]:
+def _rank(member: Member) -> tuple[int, int, int]:
     return member.incarnation, member.sequence, member.status
 
 
-def is_news(state: MembershipState, address: str, order: tuple[int, int, int]) -> bool:
-    """Return whether a record by this incarnation, sequence and status is newer than the one held.
+def is_newer(state: MembershipState, address: str, rank: tuple[int, int, int]) -> bool:
+    """Return whether (incarnation, sequence, status) is newer than the stored record's.
 
-    Of any other, also one of oneself, merge() takes nothing.
+    merge() ignores records for which this is false, also those of the daemon itself.
     """
-    held = state.members_by_address.get(address)
-    return held is None or order > _order(held)
+    current = state.members_by_address.get(address)
+    return current is None or rank > _rank(current)
 
 
 def update_me(state: MembershipState, now: float, **fields: object) -> None:
-    """Change one's own record; its sequence rises so that the new one wins."""
+    """Change fields of the daemon's own record and increment its sequence number."""
     me = state.me._replace(sequence=state.me.sequence + 1, **fields)  # type: ignore[arg-type]
     state.me = me
     _store(state, me, now)
 
 
-def _merge_me(state: MembershipState, heard: Member, now: float) -> None:
-    if heard.incarnation > state.me.incarnation:
-        update_me(state, now, incarnation=heard.incarnation + 1)
-    elif heard.incarnation == state.me.incarnation and _order(heard) > _order(state.me):
-        state.me = state.me._replace(sequence=heard.sequence)
+def _merge_me(state: MembershipState, received: Member, now: float) -> None:
+    if received.incarnation > state.me.incarnation:
+        update_me(state, now, incarnation=received.incarnation + 1)
+    elif received.incarnation == state.me.incarnation and _rank(received) > _rank(state.me):
+        state.me = state.me._replace(sequence=received.sequence)
         update_me(state, now)
 
 
-def merge(state: MembershipState, heard: Iterable[Member], now: float, tell: bool = True) -> None:
-    """Take each record that is newer than the one held; refute what is said of oneself.
+def merge(
+    state: MembershipState, received: Iterable[Member], now: float, propagate: bool = True
+) -> None:
+    """Store the received records that are newer, and refute newer ones about this daemon.
 
-    What came in a whole view is not gossiped on: whoever gave the view does that.
+    Pass `propagate=False` for records of a full view: the daemon that sent it gossips them.
     """
-    for member in heard:
+    for member in received:
         if member.address == state.me.address:
             _merge_me(state, member, now)
             continue
-        held = state.members_by_address.get(member.address)
-        if held is None or _order(member) > _order(held):
-            version = max(member.version, held.version if held else 0)
-            _store(state, member._replace(version=version), now, tell)
+        current = state.members_by_address.get(member.address)
+        if current is None or _rank(member) > _rank(current):
+            version = max(member.version, current.version if current else 0)
+            _store(state, member._replace(version=version), now, propagate)
 
 
-def note_version(state: MembershipState, address: str, version: int) -> None:
-    """Remember the highest version that an address said it applied."""
-    held = state.members_by_address.get(address)
-    if held is None or version <= held.version:
+def record_version(state: MembershipState, address: str, version: int) -> None:
+    """Store the catalogue version that a member reports, if it is higher than before."""
+    current = state.members_by_address.get(address)
+    if current is None or version <= current.version:
         return
-    state.members_by_address[address] = held._replace(version=version)
+    state.members_by_address[address] = current._replace(version=version)
     if address == state.me.address:
         state.me = state.members_by_address[address]
 
 
 def should_reconcile(state: MembershipState, view_hash: int, now: float) -> bool:
-    """Return whether views differ for longer than gossip should take; sooner with none left."""
+    """Return whether views have differed for so long that full views should be exchanged.
+
+    A mismatch counts for more when no gossip is queued, since gossip cannot resolve it then.
+    """
     if view_hash == state.view_hash:
         state.mismatches = 0
         return False
-    state.mismatches += 1 if state.gossip_left_by_address else MISMATCH_WEIGHT_WHEN_QUIET
-    spacing = max(
-        RECONCILE_SPACING_S, RECONCILE_SPACING_PER_MEMBER_S * len(state.members_by_address)
+    state.mismatches += 1 if state.gossip_left_by_address else IDLE_MISMATCH_WEIGHT
+    min_interval = max(
+        MIN_RECONCILE_INTERVAL_S,
+        MIN_RECONCILE_INTERVAL_PER_MEMBER_S * len(state.members_by_address),
     )
-    waited = now - state.reconciled_at >= spacing
-    if state.mismatches < MISMATCHES_TO_RECONCILE or not waited:
+    interval_elapsed = now - state.reconciled_at >= min_interval
+    if state.mismatches < RECONCILE_MISMATCH_THRESHOLD or not interval_elapsed:
         return False
     state.mismatches = 0
     state.reconciled_at = now
     return True
 
 
-def gossip_for(state: MembershipState, recipient: str, with_me: bool = False) -> list[Member]:
-    """Return the records to send along, the recipient's own first where it is doubted."""
-    chosen: list[Member] = [state.me] if with_me else []
-    doubted = state.members_by_address.get(recipient)
-    if doubted is not None and doubted.status in (Status.SUSPECT, Status.DEAD):
-        chosen.append(doubted)
-    left = state.gossip_left_by_address
-    for address in sorted(left, key=lambda a: -left[a])[: GOSSIP_PER_MESSAGE - len(chosen)]:
-        left[address] -= 1
-        if left[address] <= 0:
-            del left[address]
+def select_gossip(
+    state: MembershipState, recipient: str, include_self: bool = False
+) -> list[Member]:
+    """Return the records to attach to a message.
+
+    A recipient that is suspected or believed dead gets its own record, so that it can refute it.
+    """
+    chosen: list[Member] = [state.me] if include_self else []
+    recipient_record = state.members_by_address.get(recipient)
+    if recipient_record is not None and recipient_record.status in (Status.SUSPECT, Status.DEAD):
+        chosen.append(recipient_record)
+    remaining = state.gossip_left_by_address
+    for address in sorted(remaining, key=lambda a: -remaining[a])[
+        : MAX_GOSSIP_RECORDS - len(chosen)
+    ]:
+        remaining[address] -= 1
+        if remaining[address] <= 0:
+            del remaining[address]
         chosen.append(state.members_by_address[address])
     return chosen
 
 
 def reachable(state: MembershipState) -> list[Member]:
-    """Return the members that are not known to be dead or gone, oneself included."""
+    """Return the members that are alive or suspected, including this daemon."""
     return [m for m in state.members_by_address.values() if m.status <= Status.SUSPECT]
 
 
-def _mark(state: MembershipState, address: str, status: Status, now: float) -> None:
-    held = state.members_by_address.get(address)
-    if held is not None and held.status < status:
-        _store(state, held._replace(status=status), now)
+def _raise_status(state: MembershipState, address: str, status: Status, now: float) -> None:
+    current = state.members_by_address.get(address)
+    if current is not None and current.status < status:
+        _store(state, current._replace(status=status), now)
 
 
-def _nonce(state: MembershipState) -> int:
+def _new_nonce(state: MembershipState) -> int:
     state.next_nonce = state.next_nonce % 0xFFFFFFFF + 1
     return state.next_nonce
 
 
 def _next_target(state: MembershipState, rng: random.Random) -> str | None:
-    ended = [a for a, m in state.members_by_address.items() if m.status is Status.DEAD]
-    if ended and rng.randrange(RETRY_DEAD_ONE_IN) == 0:
-        return rng.choice(sorted(ended))
+    down = [a for a, m in state.members_by_address.items() if m.status is Status.DEAD]
+    if down and rng.randrange(DEAD_PROBE_INTERVAL_TICKS) == 0:
+        return rng.choice(sorted(down))
     for _ in range(2):
         while state.probe_order:
             address = state.probe_order.pop()
@@ -370,22 +393,22 @@
 
 
 def _probe(state: MembershipState, target: str, now: float) -> Outgoing:
-    nonce = _nonce(state)
+    nonce = _new_nonce(state)
     state.pending_by_nonce[nonce] = _Pending(target, now, False)
     return Outgoing(target, Probe(nonce))
 
 
 def _check_pending(state: MembershipState, now: float, rng: random.Random) -> list[Outgoing]:
-    out: list[Outgoing] = []
+    outgoing: list[Outgoing] = []
     for nonce, pending in list(state.pending_by_nonce.items()):
         waited = now - pending.sent_at
         if waited >= state.timing.probe_interval:
             del state.pending_by_nonce[nonce]
-            _mark(state, pending.target, Status.SUSPECT, now)
+            _raise_status(state, pending.target, Status.SUSPECT, now)
         elif waited >= state.timing.ack_timeout and not pending.indirect:
             state.pending_by_nonce[nonce] = pending._replace(indirect=True)
-            out += _indirect_probes(state, nonce, pending.target, rng)
-    return out
+            outgoing += _indirect_probes(state, nonce, pending.target, rng)
+    return outgoing
 
 
 def _indirect_probes(
@@ -393,50 +416,54 @@
 ) -> list[Outgoing]:
     others = sorted(m.address for m in reachable(state))
     others = [a for a in others if a not in (target, state.me.address)]
-    helpers = rng.sample(others, min(INDIRECT_PROBES, len(others)))
+    helpers = rng.sample(others, min(INDIRECT_PROBE_COUNT, len(others)))
     return [Outgoing(helper, Indirect(nonce, target)) for helper in helpers]
 
 
-def _end_suspicions(state: MembershipState, now: float) -> None:
+def _expire_records(state: MembershipState, now: float) -> None:
     for address, since in list(state.suspected_at_by_address.items()):
-        if now - since >= state.timing.suspicion:
-            _mark(state, address, Status.DEAD, now)
-    for address, since in list(state.ended_at_by_address.items()):
-        if now - since >= state.timing.forget:
-            del state.ended_at_by_address[address]
-            _rehash(state, state.members_by_address.pop(address, None), None)
+        if now - since >= state.timing.suspicion_timeout:
+            _raise_status(state, address, Status.DEAD, now)
+    for address, since in list(state.down_since_by_address.items()):
+        if now - since >= state.timing.removal_timeout:
+            del state.down_since_by_address[address]
+            _update_view_hash(state, state.members_by_address.pop(address, None), None)
             state.gossip_left_by_address.pop(address, None)
 
 
-def _look_for_returned(state: MembershipState, now: float, rng: random.Random) -> list[Outgoing]:
-    """Return probes of members that ended of late; nothing follows where they stay silent."""
-    share = RETURN_PROBES_PER_S * state.timing.probe_interval / max(1, len(reachable(state)))
-    ended = [a for a, at in state.ended_at_by_address.items() if now - at < RETURN_EXPECTED_S]
-    chosen = [address for address in ended if rng.random() < share]
-    return [Outgoing(address, Probe(_nonce(state))) for address in chosen]
+def _probe_recently_down(state: MembershipState, now: float, rng: random.Random) -> list[Outgoing]:
+    """Return probes of members that went down recently; a missing answer has no effect."""
+    probability = RESTART_PROBES_PER_S * state.timing.probe_interval / max(1, len(reachable(state)))
+    down = [
+        a
+        for a, since in state.down_since_by_address.items()
+        if now - since < RESTART_PROBE_WINDOW_S
+    ]
+    chosen = [address for address in down if rng.random() < probability]
+    return [Outgoing(address, Probe(_new_nonce(state))) for address in chosen]
 
 
 def tick(state: MembershipState, now: float, rng: random.Random) -> list[Outgoing]:
-    """Probe the next member, and look for some that may be back; call once a probe interval."""
-    _end_suspicions(state, now)
+    """Expire records and return the probes to send; call once per probe interval."""
+    _expire_records(state, now)
     target = _next_target(state, rng)
     probes = [] if target is None else [_probe(state, target, now)]
-    return probes + _look_for_returned(state, now, rng)
+    return probes + _probe_recently_down(state, now, rng)
 
 
 def check(state: MembershipState, now: float, rng: random.Random) -> list[Outgoing]:
-    """Follow up probes without an answer; call several times a probe interval."""
+    """Handle unanswered probes; call several times per probe interval."""
     return _check_pending(state, now, rng)
 
 
 def receive(
     state: MembershipState, sender: str, message: ProbeMessage, now: float
 ) -> list[Outgoing]:
-    """Take a probe message and return the messages that it calls for."""
+    """Handle a probe message and return the messages to send."""
     if isinstance(message, Probe):
         return [Outgoing(sender, Ack(message.nonce))]
     if isinstance(message, Indirect):
-        nonce = _nonce(state)
+        nonce = _new_nonce(state)
         state.relayed_by_nonce[nonce] = (sender, message.nonce)
         while len(state.relayed_by_nonce) > 256:
             del state.relayed_by_nonce[next(iter(state.relayed_by_nonce))]
--- a/hornbeamgw/core/spreading.py
+++ b/hornbeamgw/core/spreading.py
@@ -1,10 +1,11 @@
-"""Spreading: how a version travels from the daemon that learned it to all others.
-
-A new version is pushed eagerly along a tree: one relay a region, one relay a data centre, then
-a bounded fan-out inside. Each message carries the range of members its receiver answers for, so
-views that disagree lose nothing but time, and another takes the place of a receiver that does
-not answer. Every control message carries the sender's version,
-and whoever sees a higher one pulls.
+"""Dissemination of catalogue versions from one daemon to all others.
+
+A new version is pushed along a tree: to one relay per region, one relay per data centre, and then
+with a bounded fan-out within the data centre. Each push carries the address range that its
+receiver must cover, and a receiver that does not acknowledge is replaced by another one. As a
+fallback, every control message carries the sender's version, and a daemon that receives a higher
+version than its own pulls it. Members that a push misses because views differ get the version
+in this way.
 """
 
 from __future__ import annotations
@@ -18,16 +19,16 @@
 from hornbeamgw.core.rendezvous import top
 
 FANOUT = 4
-LOWEST = ""
-HIGHEST = "~"
-PUSH_ACK_TIMEOUT = 0.15
-PUSH_ROUNDS = 3
-PULL_TIMEOUT = 2.0
-PULL_BACKOFF = 0.5
+MIN_ADDRESS = ""
+MAX_ADDRESS = "~"
+PUSH_ACK_TIMEOUT_S = 0.15
+MAX_PUSH_RETRIES = 3
+PULL_TIMEOUT_S = 2.0
+PULL_BACKOFF_BASE_S = 0.5
 
 
 class Scope(enum.IntEnum):
-    """Say which members the receiver of a push answers for."""
+    """The set of members that the receiver of a push must cover."""
 
     FLEET = 0
     REGION = 1
@@ -35,7 +36,11 @@
 
 
 class Push(NamedTuple):
-    """Carry a version to a receiver that passes it on within a scope."""
+    """A catalogue version that the receiver applies and forwards within a scope and range.
+
+    The delta is compressed, and empty if it is too long for a datagram; `parent` is the version
+    that it applies to.
+    """
 
     version: int
     scope: Scope
@@ -46,26 +51,26 @@
 
 
 class Have(NamedTuple):
-    """Say that the sender holds the version named in the envelope."""
+    """An acknowledgement: the sender has the version given in the envelope."""
 
 
 class Target(NamedTuple):
-    """Hold the receiver of a push and the range it answers for."""
+    """The receiver of a push, and the scope and address range (low <= a < high) to cover."""
 
     address: str
     scope: Scope
-    low: str = LOWEST
-    high: str = HIGHEST
+    low: str = MIN_ADDRESS
+    high: str = MAX_ADDRESS
 
 
-def _split(members: Sequence[Member], fanout: int, high: str) -> list[Target]:
+def _split_range(members: Sequence[Member], fanout: int, high: str) -> list[Target]:
     targets = []
     size = -(-len(members) // fanout)
     for start in range(0, len(members), max(1, size)):
         end = start + size
-        upper = members[end].address if end < len(members) else high
-        head = _first_alive(members[start:end])
-        targets.append(Target(head, Scope.DATA_CENTRE, members[start].address, upper))
+        end_address = members[end].address if end < len(members) else high
+        receiver = _first_alive(members[start:end])
+        targets.append(Target(receiver, Scope.DATA_CENTRE, members[start].address, end_address))
     return targets
 
 
@@ -76,128 +81,128 @@
     return members[0].address
 
 
-def _within(me: Member, members: Sequence[Member], low: str, high: str) -> list[Target]:
+def _local_targets(me: Member, members: Sequence[Member], low: str, high: str) -> list[Target]:
     local = [
         m
         for m in members
         if m.data_centre == me.data_centre and low <= m.address < high and m.address != me.address
     ]
-    return _split(sorted(local, key=lambda m: m.address), FANOUT, high)
+    return _split_range(sorted(local, key=lambda m: m.address), FANOUT, high)
 
 
-def _relay(group: Sequence[Member], version: int, scope: Scope) -> Target:
+def _select_relay(group: Sequence[Member], version: int, scope: Scope) -> Target:
     alive = [m for m in group if m.status is Status.ALIVE] or group
     return Target(top(str(version), alive, 1)[0].address, scope)
 
 
-def _relays(
-    me: Member, members: Sequence[Member], version: int, by: str, scope: Scope
+def _select_relays(
+    me: Member, members: Sequence[Member], version: int, level: str, scope: Scope
 ) -> list[Target]:
-    own = getattr(me, by)
+    own = getattr(me, level)
     groups: dict[str, list[Member]] = {}
     for member in members:
         same_region = member.region == me.region
-        if getattr(member, by) != own and (by == "region" or same_region):
-            groups.setdefault(getattr(member, by), []).append(member)
-    return [_relay(groups[name], version, scope) for name in sorted(groups)]
+        if getattr(member, level) != own and (level == "region" or same_region):
+            groups.setdefault(getattr(member, level), []).append(member)
+    return [_select_relay(groups[name], version, scope) for name in sorted(groups)]
 
 
-TargetsFunction = Callable[[Member, Sequence[Member], int, Scope, str, str], list[Target]]
+TargetSelector = Callable[[Member, Sequence[Member], int, Scope, str, str], list[Target]]
 
 
 class Policy(NamedTuple):
-    """Hold a way to spread versions: whom to push to, and whether everybody reads."""
+    """A dissemination policy: selects push targets; all daemons poll if `all_daemons_read`."""
 
-    targets: TargetsFunction
-    everyone_reads: bool = False
+    targets: TargetSelector
+    all_daemons_read: bool = False
 
 
 policies_by_name: dict[str, Policy] = {}
 
 
 def register(
-    name: str, everyone_reads: bool = False
-) -> Callable[[TargetsFunction], TargetsFunction]:
-    """Register a way to spread versions under the name that settings use."""
+    name: str, all_daemons_read: bool = False
+) -> Callable[[TargetSelector], TargetSelector]:
+    """Register a dissemination policy under the name used in the settings."""
 
-    def add(function: TargetsFunction) -> TargetsFunction:
-        policies_by_name[name] = Policy(function, everyone_reads)
+    def decorator(function: TargetSelector) -> TargetSelector:
+        policies_by_name[name] = Policy(function, all_daemons_read)
         return function
 
-    return add
+    return decorator
 
 
 @register("tree")
 def tree(
     me: Member, members: Sequence[Member], version: int, scope: Scope, low: str, high: str
 ) -> list[Target]:
-    """Return whom to push a version to, for the scope that this daemon answers for."""
-    found: list[Target] = []
+    """Return the push targets in a tree that covers a scope and address range."""
+    targets: list[Target] = []
     if scope is Scope.FLEET:
-        found += _relays(me, members, version, "region", Scope.REGION)
+        targets += _select_relays(me, members, version, "region", Scope.REGION)
     if scope in (Scope.FLEET, Scope.REGION):
-        found += _relays(me, members, version, "data_centre", Scope.DATA_CENTRE)
-    return found + _within(me, members, low, high)
+        targets += _select_relays(me, members, version, "data_centre", Scope.DATA_CENTRE)
+    return targets + _local_targets(me, members, low, high)
 
 
 @register("flood")
 def flood(
     me: Member, members: Sequence[Member], version: int, scope: Scope, low: str, high: str
 ) -> list[Target]:
-    """Push to every member, as every receiver does again (a baseline)."""
+    """Return every other member as a push target; every receiver does the same (a baseline)."""
     others = [m.address for m in members if m.address != me.address]
-    return [Target(address, Scope.DATA_CENTRE, LOWEST, LOWEST) for address in others]
+    return [Target(address, Scope.DATA_CENTRE, MIN_ADDRESS, MIN_ADDRESS) for address in others]
 
 
-@register("poll", everyone_reads=True)
+@register("poll", all_daemons_read=True)
 def poll(
     me: Member, members: Sequence[Member], version: int, scope: Scope, low: str, high: str
 ) -> list[Target]:
-    """Push to nobody; every daemon polls the platform (a baseline)."""
+    """Return no push targets; every daemon polls the platform (a baseline)."""
     return []
 
 
-def retarget(
-    me: Member, members: Sequence[Member], failed: Member, push: Push, avoided: Collection[str]
+def replacement_targets(
+    me: Member, members: Sequence[Member], failed: Member, push: Push, excluded: Collection[str]
 ) -> list[Target]:
-    """Return whom to push to in place of a receiver that did not answer."""
-    others = [m for m in members if m.address not in avoided]
+    """Return the push targets that replace a receiver that did not acknowledge."""
+    others = [m for m in members if m.address not in excluded]
     if failed.data_centre == me.data_centre:
-        return _within(me, others, push.low, push.high)
-    by = "region" if push.scope is Scope.REGION else "data_centre"
-    group = [m for m in others if getattr(m, by) == getattr(failed, by)]
-    return [_relay(group, push.version, push.scope)] if group else []
+        return _local_targets(me, others, push.low, push.high)
+    level = "region" if push.scope is Scope.REGION else "data_centre"
+    group = [m for m in others if getattr(m, level) == getattr(failed, level)]
+    return [_select_relay(group, push.version, push.scope)] if group else []
 
 
 class PullState:
-    """Hold the one transfer that may be under way, and when the next may start."""
+    """State of the pull in progress, if any, and the earliest time of the next one."""
 
     def __init__(self) -> None:
-        """Start with no transfer."""
+        """Create a state without a pull in progress."""
         self.source: str | None = None
         self.started_at = 0.0
         self.not_before = 0.0
         self.failures = 0
-        self.wanted = 0
-        self.forward: Push | None = None
+        self.highest_advertised_version = 0
+        self.deferred_push: Push | None = None
 
 
-def want(state: PullState, known: int, version: int, sender: str, now: float) -> str | None:
-    """Note that a sender holds a version; return whom to pull from now, if anybody."""
+def start_pull(state: PullState, known: int, version: int, sender: str, now: float) -> str | None:
+    """Return the sender if a pull of its version starts now, else None."""
     if version <= known:
         return None
-    state.wanted = max(state.wanted, version)
-    busy = state.source is not None and now - state.started_at < PULL_TIMEOUT
+    state.highest_advertised_version = max(state.highest_advertised_version, version)
+    busy = state.source is not None and now - state.started_at < PULL_TIMEOUT_S
     if busy or now < state.not_before:
         return None
     state.source, state.started_at = sender, now
     return sender
 
 
-def ended(state: PullState, succeeded: bool, now: float, rng: random.Random) -> None:
-    """Note the end of a transfer; a failure backs off with full jitter."""
+def finish_pull(state: PullState, succeeded: bool, now: float, rng: random.Random) -> None:
+    """Record the end of a pull; after a failure, back off exponentially with full jitter."""
     state.source = None
     state.failures = 0 if succeeded else state.failures + 1
     if not succeeded:
-        ceiling = PULL_BACKOFF * 2 ** min(state.failures, 5)
-        state.not_before = now + rng.uniform(0, ceiling)
+        max_delay = PULL_BACKOFF_BASE_S * 2 ** min(state.failures, 5)
+        state.not_before = now + rng.uniform(0, max_delay)
--- a/hornbeamgw/core/versions.py
+++ b/hornbeamgw/core/versions.py
@@ -1,4 +1,4 @@
-"""Versions: what a daemon knows of the catalogue, and what it has in force."""
+"""Catalogue versions of a daemon: the known catalogue, and the snapshot in force."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from hornbeamgw.core.problems import Problem
 from hornbeamgw.core.snapshot import EMPTY, Snapshot, build
 
-KEPT_DELTAS = 256
-KEPT_ARRIVALS = 512
-# A datagram of 1,472 bytes is not split on the way; the rest of a push takes up to 200 of them.
-MAX_PACKED_DELTA = 1200
-# A change of ten routes is some 3 KB and packs into a fifth of that; larger ones are pulled.
-MAX_UNPACKED_DELTA = 16 * 1024
+MAX_DELTAS = 256
+MAX_ARRIVALS = 512
+# A datagram of up to 1,472 bytes is not fragmented; the rest is for the other fields of a push.
+MAX_COMPRESSED_DELTA_BYTES = 1200
+# Larger deltas are not pushed; the receiver pulls them.
+MAX_DELTA_BYTES = 16 * 1024
 
 
-class Path(enum.StrEnum):
-    """Name the way by which a version reached this daemon."""
+class ArrivalPath(enum.StrEnum):
+    """How a version reached this daemon."""
 
     COMMIT = "commit"
     PLATFORM = "platform"
@@ -35,36 +35,41 @@
 
 
 class Origin(NamedTuple):
-    """Say from whom and by which way something arrived."""
+    """The path by which a version arrived, and its sender."""
 
-    path: Path
+    path: ArrivalPath
     sender: str
 
 
 class Arrival(NamedTuple):
-    """Record when a version arrived here, how, from whom, and how many bytes it took."""
+    """The arrival of a version: Unix time in seconds, path, sender and size in bytes."""
 
     version: int
     at: float
-    path: Path
+    path: ArrivalPath
     sender: str
     size: int
 
 
-class Learned(NamedTuple):
-    """Tell what a message changed."""
+class LearnResult(NamedTuple):
+    """The result of processing deltas, a catalogue or a floor.
+
+    `advanced` tells whether the known version is now higher, `applied` is the snapshot that was put
+    in force, if any, `stale_count` the number of versions that were already known, and `failure`
+    the reason why a version was not accepted, or empty.
+    """
 
     advanced: bool = False
     applied: Snapshot | None = None
-    stale: int = 0
-    fault: str = ""
+    stale_count: int = 0
+    failure: str = ""
 
 
 class VersionState:
-    """Hold the catalogue known, the snapshot in force, the floor and recent deltas."""
+    """The known catalogue, the snapshot in force, the floor and recent deltas."""
 
     def __init__(self) -> None:
-        """Start with nothing: no floor, the empty catalogue."""
+        """Create a state with an empty catalogue and no floor."""
         self.catalogue: Catalogue = GENESIS
         self.snapshot: Snapshot = EMPTY
         self.built_items: Items = NO_ITEMS
@@ -77,12 +82,12 @@
 
 
 def is_ready(state: VersionState) -> bool:
-    """Return whether the snapshot in force is at or above a known floor."""
+    """Return whether the floor is known and the snapshot in force is not below it."""
     return state.floor is not None and state.snapshot.version >= max(1, state.floor)
 
 
-def _trim(mapping: dict[int, Any], kept: int) -> None:
-    while len(mapping) > kept:
+def _evict_oldest(mapping: dict[int, Any], max_size: int) -> None:
+    while len(mapping) > max_size:
         del mapping[next(iter(mapping))]
 
 
@@ -100,37 +105,37 @@
     state.snapshot = built.ok_value
     state.built_items = known.items
     state.applied_at_by_version[known.version] = now
-    _trim(state.applied_at_by_version, KEPT_ARRIVALS)
+    _evict_oldest(state.applied_at_by_version, MAX_ARRIVALS)
     return state.snapshot
 
 
-def set_floor(state: VersionState, floor: int, now: float) -> Learned:
-    """Record the lowest version that may be put in force, once it is sure."""
+def set_floor(state: VersionState, floor: int, now: float) -> LearnResult:
+    """Set the lowest version that may be applied, and apply the known catalogue if allowed."""
     state.floor = max(floor, state.floor or 0)
-    return Learned(applied=_apply(state, now))
+    return LearnResult(applied=_apply(state, now))
 
 
 def learn_deltas(
     state: VersionState, blobs: Sequence[bytes], origin: Origin, now: float
-) -> Learned:
-    """Extend the known catalogue by consecutive deltas and apply the newest."""
-    stale, fault, advanced = 0, "", False
+) -> LearnResult:
+    """Extend the known catalogue by consecutive deltas and apply the newest version."""
+    stale_count, failure, advanced = 0, "", False
     for blob in blobs:
         try:
             delta = decode_delta(blob)
         except msgspec.MsgspecError as error:
-            fault = f"undecodable delta: {error}"
+            failure = f"undecodable delta: {error}"
             break
         if delta["version"] <= state.catalogue.version:
-            stale += 1
+            stale_count += 1
             continue
         extended = extend(state.catalogue, delta)
         if isinstance(extended, Err):
-            fault = extended.err_value
+            failure = extended.err_value
             break
         _advance(state, extended.ok_value, delta, blob, origin, now)
         advanced = True
-    return Learned(advanced, _apply(state, now) if advanced else None, stale, fault)
+    return LearnResult(advanced, _apply(state, now) if advanced else None, stale_count, failure)
 
 
 def _advance(
@@ -139,41 +144,41 @@
     state.catalogue = known
     state.deltas_by_version[known.version] = blob
     state.parents_by_version[known.version] = parent_of(delta)
-    _trim(state.deltas_by_version, KEPT_DELTAS)
-    _trim(state.parents_by_version, KEPT_DELTAS)
+    _evict_oldest(state.deltas_by_version, MAX_DELTAS)
+    _evict_oldest(state.parents_by_version, MAX_DELTAS)
     arrival = Arrival(known.version, now, origin.path, origin.sender, len(blob))
     state.arrivals_by_version[known.version] = arrival
-    _trim(state.arrivals_by_version, KEPT_ARRIVALS)
+    _evict_oldest(state.arrivals_by_version, MAX_ARRIVALS)
 
 
 def encode_catalogue(catalogue: Catalogue) -> bytes:
-    """Return a whole catalogue, compressed, as it is stored and sent."""
+    """Encode and compress a catalogue for storage and transfer."""
     rows = {key: [item.revision, item.body] for key, item in sorted(catalogue.items.items())}
     return zlib.compress(msgspec.json.encode([catalogue.version, rows]), 6)
 
 
-def pack_delta(delta: bytes) -> bytes:
-    """Return a delta compressed for a datagram, or nothing where it would be too long."""
-    if not delta or len(delta) > MAX_UNPACKED_DELTA:
+def compress_delta(delta: bytes) -> bytes:
+    """Compress a delta for a datagram; return empty bytes if it is too long."""
+    if not delta or len(delta) > MAX_DELTA_BYTES:
         return b""
-    packed = zlib.compress(delta)
-    return packed if len(packed) <= MAX_PACKED_DELTA else b""
+    compressed = zlib.compress(delta)
+    return compressed if len(compressed) <= MAX_COMPRESSED_DELTA_BYTES else b""
 
 
-def unpack_delta(packed: bytes) -> bytes:
-    """Return the delta in a datagram, or nothing where it can't be read."""
-    if not packed:
+def decompress_delta(compressed: bytes) -> bytes:
+    """Decompress a delta from a datagram; return empty bytes if it is invalid or too long."""
+    if not compressed:
         return b""
-    unpacking = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        delta = unpacking.decompress(packed, MAX_UNPACKED_DELTA)
+        delta = decompressor.decompress(compressed, MAX_DELTA_BYTES)
     except zlib.error:
         return b""
-    return delta if unpacking.eof else b""
+    return delta if decompressor.eof else b""
 
 
 def decode_catalogue(blob: bytes) -> Catalogue:
-    """Return the catalogue in a blob; raise ValueError where it is none."""
+    """Decode a catalogue; raise ValueError if the blob is invalid."""
     try:
         version, rows = msgspec.json.decode(
             zlib.decompress(blob), type=tuple[int, dict[str, tuple[int, dict[str, Any]]]]
@@ -184,30 +189,30 @@
     return Catalogue(version, digest_of(items), items)
 
 
-def learn_catalogue(state: VersionState, blob: bytes, origin: Origin, now: float) -> Learned:
-    """Take a whole catalogue where it is newer than the known one, and apply it."""
+def learn_catalogue(state: VersionState, blob: bytes, origin: Origin, now: float) -> LearnResult:
+    """Replace the known catalogue by an encoded one if that is newer, and apply it."""
     try:
         catalogue = decode_catalogue(blob)
     except ValueError as error:
-        return Learned(fault=str(error))
+        return LearnResult(failure=str(error))
     if catalogue.version <= state.catalogue.version:
-        return Learned(stale=1)
+        return LearnResult(stale_count=1)
     state.catalogue = catalogue
     state.deltas_by_version.clear()
     state.parents_by_version.clear()
-    arrival = Arrival(catalogue.version, now, Path.SNAPSHOT, origin.sender, len(blob))
+    arrival = Arrival(catalogue.version, now, ArrivalPath.SNAPSHOT, origin.sender, len(blob))
     state.arrivals_by_version[catalogue.version] = arrival
-    return Learned(True, _apply(state, now))
+    return LearnResult(True, _apply(state, now))
 
 
 def deltas_after(state: VersionState, version: int) -> list[bytes] | None:
-    """Return the deltas that follow a version, or None where one is no longer kept."""
+    """Return the deltas that follow a version, or None if one is no longer stored."""
     blobs: list[bytes] = []
-    at = state.catalogue.version
-    while at > version:
-        blob = state.deltas_by_version.get(at)
+    current = state.catalogue.version
+    while current > version:
+        blob = state.deltas_by_version.get(current)
         if blob is None:
             return None
         blobs.append(blob)
-        at = state.parents_by_version[at]
-    return blobs[::-1] if at == version else None
+        current = state.parents_by_version[current]
+    return blobs[::-1] if current == version else None
--- a/hornbeamgw/daemon/admin.py
+++ b/hornbeamgw/daemon/admin.py
@@ -18,7 +18,7 @@
 from hornbeamgw.core.catalogue import Name, to_file
 from hornbeamgw.core.edit import Edit, Rejection, decode_delta
 from hornbeamgw.core.fingerprint import as_text
-from hornbeamgw.core.membership import ServerState, with_each_server
+from hornbeamgw.core.membership import ServerState, split_by_server
 from hornbeamgw.core.problems import Problem, check_mapping
 from hornbeamgw.core.snapshot import match
 from hornbeamgw.daemon import exposition
@@ -171,7 +171,7 @@
                 "version": m.version,
             }
             for member in sorted(view.members_by_address.values())
-            for m in with_each_server(member)
+            for m in split_by_server(member)
         ]
         for member in members:
             if member["address"] == view.me.address:
--- a/hornbeamgw/daemon/committer.py
+++ b/hornbeamgw/daemon/committer.py
@@ -14,7 +14,7 @@
 from hornbeamgw.core import commit, edit, versions
 from hornbeamgw.core.commit import Head
 from hornbeamgw.core.edit import Delta, Edit, Rejection
-from hornbeamgw.core.versions import Origin, Path
+from hornbeamgw.core.versions import ArrivalPath, Origin
 from hornbeamgw.daemon.control import Control
 from hornbeamgw.daemon.reader import Reader
 from hornbeamgw.daemon.sources import of_commit
@@ -96,7 +96,7 @@
         delta = accepted.ok_value
         if not await self._write(head, row.etag if row else None, delta):
             return None
-        origin = Origin(Path.COMMIT, self._control.view.me.address)
+        origin = Origin(ArrivalPath.COMMIT, self._control.view.me.address)
         if self._control.learn_deltas([edit.encode_delta(delta)], origin):
             self._control.push()
         return Committed(delta["version"])
--- a/hornbeamgw/daemon/control.py
+++ b/hornbeamgw/daemon/control.py
@@ -16,7 +16,7 @@
 from hornbeamgw.core.options import Settings, split_address
 from hornbeamgw.core.snapshot import Snapshot
 from hornbeamgw.core.tally import Tally
-from hornbeamgw.core.versions import Origin, Path, VersionState
+from hornbeamgw.core.versions import ArrivalPath, Origin, VersionState
 from hornbeamgw.daemon import codec, datagrams, frames
 from hornbeamgw.daemon.link import LinkLost, exchange
 from hornbeamgw.daemon.meter import Bucket, Meter
@@ -129,8 +129,8 @@
         self._tell_news()
 
     def _tell_news(self) -> None:
-        while self.view.news:
-            member = self.view.news.popleft()
+        while self.view.pending_reports:
+            member = self.view.pending_reports.popleft()
             for callback in self.on_news:
                 callback(member)
 
@@ -157,20 +157,20 @@
             log.info("member changed", extra=told)
 
     def _note(self, effect: Effect) -> None:
-        if isinstance(effect, node.Report):
+        if isinstance(effect, node.CatalogueUpdate):
             self._report(effect)
-        elif isinstance(effect, node.Duplicate):
+        elif isinstance(effect, node.DuplicatePush):
             self.meter.messages_in["duplicate_push"] += 1
-        elif isinstance(effect, node.Unanswered):
+        elif isinstance(effect, node.UnansweredPush):
             self.meter.faults["push without an answer"] += 1
-        elif isinstance(effect, node.EraBegan):
+        elif isinstance(effect, node.EraStarted):
             log.warning("the platform's store has begun a new era", extra={"era": effect.era})
             for on_era in self.on_era:
                 on_era(effect.era)
-        elif isinstance(effect, node.Tallied):
+        elif isinstance(effect, node.TallyReceived):
             for callback in self.on_tally:
                 callback(effect.sender, effect.tally)
-        elif isinstance(effect, node.Mismatch):
+        elif isinstance(effect, node.CatalogueMismatch):
             log.error("two catalogues of one version", extra={"sender": effect.sender})
 
     def _send(self, effect: node.Send) -> None:
@@ -180,10 +180,10 @@
         self.meter.sent(_kind(effect.envelope.message), len(payload))
         self._transport.sendto(payload, split_address(effect.to))
 
-    def _report(self, report: node.Report) -> None:
+    def _report(self, report: node.CatalogueUpdate) -> None:
         learned, origin = report
-        if learned.fault:
-            log.warning("version not taken", extra={"fault": learned.fault, "origin": origin})
+        if learned.failure:
+            log.warning("version not taken", extra={"fault": learned.failure, "origin": origin})
         version = self.versions.catalogue.version
         rejected = self.versions.rejected_by_version.get(version)
         if learned.advanced and rejected:
@@ -220,7 +220,7 @@
         self._carry(node.receive(self.node, received, _moment(), self.rng))
 
     def _is_news(self, address: str, order: tuple[int, int, int]) -> bool:
-        return membership.is_news(self.view, address, order)
+        return membership.is_newer(self.view, address, order)
 
     def _note_heard(self) -> None:
         self.has_heard_others = True
@@ -244,7 +244,12 @@
 
     def send_tally(self, to: Sequence[str], tally: Tally) -> None:
         """Tell those who lead a rollout what was counted at a server."""
-        self._carry([node.Send(address, node.bare(self.node, address, tally)) for address in to])
+        self._carry(
+            [
+                node.Send(address, node.envelope_without_gossip(self.node, address, tally))
+                for address in to
+            ]
+        )
 
     # Versions
 
@@ -262,7 +267,7 @@
 
     def learn_whole(self, version: int, bodies: Mapping[str, Any], origin: Origin) -> bool:
         """Take a whole version of an outside source and return whether it was new."""
-        advanced, effects = node.learn_whole(self.node, version, bodies, origin, _moment())
+        advanced, effects = node.learn_version(self.node, version, bodies, origin, _moment())
         self._carry(effects)
         return advanced
 
@@ -281,12 +286,12 @@
         try:
             answer = await self.ask(source, frames.Pull(known), "pull")
             if isinstance(answer, frames.Deltas):
-                self.learn_deltas(answer.blobs, Origin(Path.PULL, source))
+                self.learn_deltas(answer.blobs, Origin(ArrivalPath.PULL, source))
             elif isinstance(answer, frames.WholeCatalogue):
-                self.learn_catalogue(answer.blob, Origin(Path.SNAPSHOT, source))
+                self.learn_catalogue(answer.blob, Origin(ArrivalPath.SNAPSHOT, source))
         except LinkLost as error:
             log.info("pull failed", extra={"source": source, "error": str(error)})
-        self._carry(node.pull_ended(self.node, source, known, _moment(), self.rng))
+        self._carry(node.finish_pull(self.node, source, known, _moment(), self.rng))
 
     async def ask(
         self,
@@ -319,7 +324,7 @@
     def answer_view(self, member: Member) -> frames.Frame | None:
         """Take the record of a daemon that joins and return the view, or None over the rate."""
         moment = _moment()
-        members = node.join(self.node, member, moment)
+        members = node.handle_join(self.node, member, moment)
         if not self._transfers.take(VIEW_RECORD_BYTES * len(members), moment.now):
             return None
         return frames.View(members)
@@ -334,7 +339,7 @@
             return False
         if not isinstance(answer, frames.View):
             return False
-        membership.merge(self.view, answer.members, _moment().now, tell=False)
+        membership.merge(self.view, answer.members, _moment().now, propagate=False)
         self._note_heard()
         self._log_view(address)
         return True
@@ -344,7 +349,7 @@
 
     def meet(self, found: Sequence[Member]) -> None:
         """Take the records of daemons that were found, as ones that have yet to answer."""
-        membership.merge(self.view, found, _moment().now, tell=False)
+        membership.merge(self.view, found, _moment().now, propagate=False)
         self._log_view("directory")
 
     def announce_everywhere(self) -> None:
@@ -361,7 +366,7 @@
 
     def update_me(self, **fields: object) -> None:
         """Change one's own record and tell some members at once."""
-        self._carry(node.change_me(self.node, _moment(), self.rng, **fields))
+        self._carry(node.update_own_record(self.node, _moment(), self.rng, **fields))
 
 
 def _kind(message: node.Message) -> str:
--- a/hornbeamgw/daemon/reader.py
+++ b/hornbeamgw/daemon/reader.py
@@ -202,13 +202,13 @@
         version = self._control.versions.catalogue.version
         if self._source.is_whole and not is_pusher(me, members, version, self._in_all()):
             await asyncio.sleep(PUSH_AWAITED_S)
-            if self._control.node.pushed_version >= version:
+            if self._control.node.highest_pushed_version >= version:
                 return
         self._control.push()
 
     def _reads_now(self) -> bool:
         heard_ago = asyncio.get_running_loop().time() - self._control.heard_at
-        if self._control.node.spread.everyone_reads or heard_ago > UNHEARD_S:
+        if self._control.node.spreading_policy.all_daemons_read or heard_ago > UNHEARD_S:
             return True
         return is_reader(self._control.view.me, self._living(), self._in_all())
 
--- a/hornbeamgw/daemon/rollouts/leader.py
+++ b/hornbeamgw/daemon/rollouts/leader.py
@@ -12,7 +12,7 @@
 from hornbeamgw.backends.rows import RowPage, RowStore, StoredRow
 from hornbeamgw.core import evidence, membership, rollout
 from hornbeamgw.core.balancing import serving
-from hornbeamgw.core.membership import Member, server_key, with_each_server
+from hornbeamgw.core.membership import Member, server_key, split_by_server
 from hornbeamgw.core.rollout import LAG_S, Order, RolloutState, Seen, Step
 from hornbeamgw.core.standing import Phase, Standing
 from hornbeamgw.core.tally import Tally
@@ -198,7 +198,7 @@
         before = [
             server_key(m)
             for member in members
-            for m in with_each_server(member)
+            for m in split_by_server(member)
             if m.service == service and m.software != target
         ]
         is_reached = now - self._reached_at <= REACHED_WITHIN_S
--- a/hornbeamgw/daemon/sources.py
+++ b/hornbeamgw/daemon/sources.py
@@ -19,7 +19,7 @@
 from hornbeamgw.backends.rows import RowPage, RowStore
 from hornbeamgw.core import commit
 from hornbeamgw.core.commit import Head
-from hornbeamgw.core.versions import Origin, Path
+from hornbeamgw.core.versions import ArrivalPath, Origin
 from hornbeamgw.daemon.control import Control
 
 log = logging.getLogger(__name__)
@@ -122,7 +122,7 @@
         blob = await self._objects.get(head["snapshot_name"])
         self.reads += 1
         if blob is not None:
-            self._control.learn_catalogue(blob, Origin(Path.SNAPSHOT, PLATFORM))
+            self._control.learn_catalogue(blob, Origin(ArrivalPath.SNAPSHOT, PLATFORM))
 
     async def _fetch_deltas(self, head: Head) -> bool:
         known = self._control.versions.catalogue.version
@@ -134,7 +134,7 @@
                 await self._fetch_snapshot(head)
                 break
             blobs.append(row.value)
-        return self._control.learn_deltas(blobs, Origin(Path.PLATFORM, PLATFORM))
+        return self._control.learn_deltas(blobs, Origin(ArrivalPath.PLATFORM, PLATFORM))
 
 
 def of_commit(head: Head) -> SourceHead:
@@ -220,7 +220,7 @@
         """Take the version that a head carries."""
         if head.version <= self._control.versions.catalogue.version or head.content is None:
             return False
-        origin = Origin(Path.PLATFORM, PLATFORM)
+        origin = Origin(ArrivalPath.PLATFORM, PLATFORM)
         return self._control.learn_whole(head.version, head.content, origin)
 
 
--- a/properties/fleet_machine.py
+++ b/properties/fleet_machine.py
@@ -28,7 +28,7 @@
 from hornbeamgw.core.node import Moment, Node
 from hornbeamgw.core.rendezvous import is_reader
 from hornbeamgw.core.table import Write
-from hornbeamgw.core.versions import Origin, Path
+from hornbeamgw.core.versions import ArrivalPath, Origin
 from hornbeamgw.testing.memory import MemoryPlatform
 from properties.moods import BURST, CALM, WEIGHTS_BY_MOOD
 
@@ -139,7 +139,7 @@
                 self._post(InFlight(me, effect.source, effect, self.clock))
             elif isinstance(effect, node.StartReconcile):
                 self._post(InFlight(me, effect.address, effect, self.clock))
-            elif isinstance(effect, node.Mismatch):
+            elif isinstance(effect, node.CatalogueMismatch):
                 raise AssertionError(f"two catalogues of one version at {effect.sender}")
 
     def _post(self, message: InFlight) -> None:
@@ -161,22 +161,22 @@
         if isinstance(message.effect, node.StartPull):
             self._pull(asker, receiver if reachable else None, message.to)
         elif receiver is not None and reachable:
-            view = node.join(receiver, asker.view.me, self._moment())
-            membership.merge(asker.view, view, self.now, tell=False)
+            view = node.handle_join(receiver, asker.view.me, self._moment())
+            membership.merge(asker.view, view, self.now, propagate=False)
 
     def _pull(self, asker: Node, source: Node | None, address: str) -> None:
         known = asker.versions.catalogue.version
         moment = self._moment()
         if source is not None:
             blobs = versions.deltas_after(source.versions, known)
-            origin = Origin(Path.PULL, address)
+            origin = Origin(ArrivalPath.PULL, address)
             if blobs is not None and self.rng.random() < 0.7:
                 _, effects = node.learn_deltas(asker, blobs, origin, moment)
             else:
                 whole = versions.encode_catalogue(source.versions.catalogue)
                 _, effects = node.learn_catalogue(asker, whole, origin, moment)
             self._carry(asker, effects)
-        self._carry(asker, node.pull_ended(asker, address, known, moment, self.rng))
+        self._carry(asker, node.finish_pull(asker, address, known, moment, self.rng))
 
     # What may happen
 
@@ -279,7 +279,7 @@
         known = held.versions.catalogue.version
         keys = [commit.delta_key(v) for v in range(known + 1, head["version"] + 1)]
         blobs = [self.platform.rows_by_key[key].value for key in keys]
-        origin = Origin(Path.PLATFORM, "platform")
+        origin = Origin(ArrivalPath.PLATFORM, "platform")
         advanced, effects = node.learn_deltas(held, blobs, origin, self._moment())
         self._carry(held, effects)
         return advanced
@@ -289,7 +289,7 @@
         held = self._pick()
         if held is None or not self.deltas:
             return
-        origin, moment = Origin(Path.PULL, "late"), self._moment()
+        origin, moment = Origin(ArrivalPath.PULL, "late"), self._moment()
         if self.rng.random() < 0.5:
             blobs = self.rng.sample(self.deltas, min(2, len(self.deltas)))
             _, effects = node.learn_deltas(held, blobs, origin, moment)
@@ -335,8 +335,8 @@
         seed = self._node(seed_index)
         address = held.view.me.address
         if seed is not None and seed is not held and self._connected(address, f"n{seed_index}"):
-            view = node.join(seed, held.view.me, self._moment())
-            membership.merge(held.view, view, self.now, tell=False)
+            view = node.handle_join(seed, held.view.me, self._moment())
+            membership.merge(held.view, view, self.now, propagate=False)
 
     def _unsure(self) -> list[Node]:
         found = [self.nodes[address] for address in self._alive()]
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -222,7 +222,7 @@
     Mutant(
         "daemons that were stopped are looked for",
         "hornbeamgw/core/membership.py",
-        (("RETURN_EXPECTED_S = 30.0", "RETURN_EXPECTED_S = 0.0"),),
+        (("RESTART_PROBE_WINDOW_S = 30.0", "RESTART_PROBE_WINDOW_S = 0.0"),),
         OUTSIDE,
     ),
     Mutant(
@@ -234,19 +234,19 @@
     Mutant(
         "a known version is passed on to a range not covered yet",
         "hornbeamgw/core/node.py",
-        (("if message.version != known or asked in node.covered:", "if True:"),),
+        (("if message.version != known or requested_range in node.covered:", "if True:"),),
         SPREADING,
     ),
     Mutant(
         "another takes the place of a silent receiver",
         "hornbeamgw/core/node.py",
-        (("if failed is None or len(avoided) > spreading.PUSH_ROUNDS:", "if True:"),),
+        (("if failed is None or len(excluded) > spreading.MAX_PUSH_RETRIES:", "if True:"),),
         SPREADING,
     ),
     Mutant(
         "a suspect refutes",
         "hornbeamgw/core/membership.py",
-        (("_order(heard) > _order(state.me)", "False"),),
+        (("_rank(received) > _rank(state.me)", "False"),),
         SPREADING,
     ),
     Mutant(
@@ -300,7 +300,7 @@
         "hornbeamgw/core/node.py",
         (
             (
-                "effects += want(node, hint.version, hint.sender, moment)",
+                "effects += request_pull(node, hint.version, hint.sender, moment)",
                 "pass",
             ),
         ),
