--- a/hornbeamgw/core/node.py
+++ b/hornbeamgw/core/node.py
@@ -166,7 +166,7 @@
         self.version_hints: list[_VersionHint] = []
         self.era: int | None = None  # None until received
         self.highest_pushed_version = 0
-        # (version, scope, low, high) of the pushes that this node has already forwarded
+        # (version, scope, low, high) of each range to which this node has pushed a version
         self.covered: set[tuple[int, Scope, str, str]] = set()
 
 
--- a/hornbeamgw/core/spreading.py
+++ b/hornbeamgw/core/spreading.py
@@ -19,6 +19,7 @@
 from hornbeamgw.core.rendezvous import top
 
 FANOUT = 4
+# Bounds of the range of all addresses; "~" sorts after every address.
 MIN_ADDRESS = ""
 MAX_ADDRESS = "~"
 PUSH_ACK_TIMEOUT_S = 0.15
@@ -38,8 +39,8 @@
 class Push(NamedTuple):
     """A catalogue version that the receiver applies and forwards within a scope and range.
 
-    The delta is compressed, and empty if it is too long for a datagram; `parent` is the version
-    that it applies to.
+    The delta is compressed, and empty if it is not stored or too long for a datagram; `parent` is
+    the version that it applies to.
     """
 
     version: int
@@ -55,7 +56,7 @@
 
 
 class Target(NamedTuple):
-    """The receiver of a push, and the scope and address range (low <= a < high) to cover."""
+    """The receiver of a push, and the scope and address range (low <= address < high)."""
 
     address: str
     scope: Scope
