--- a/hornbeamgw/core/membership.py
+++ b/hornbeamgw/core/membership.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 from hornbeamgw.core.finding import Finding
-from hornbeamgw.core.standing import Standing
+from hornbeamgw.core.standing import RolloutStatus
 
 
 class Status(enum.IntEnum):
@@ -76,7 +76,7 @@
     software: str = ""
     server: int = 0
     further_servers: tuple[FurtherServer, ...] = ()
-    standings: tuple[Standing, ...] = ()
+    standings: tuple[RolloutStatus, ...] = ()
 
 
 def split_by_server(member: Member) -> list[Member]:
@@ -196,8 +196,8 @@
 class MembershipState:
     """The membership view of one daemon.
 
-    `me` is the daemon's own record. `pending_reports` are records whose findings or standings have
-    changed and that have not been processed yet.
+    `me` is the daemon's own record. `pending_reports` are records whose findings or rollout
+    statuses have changed and that have not been processed yet.
     """
 
     def __init__(self, me: Member, timing: Timing) -> None:
@@ -230,7 +230,7 @@
             state.view_hash ^= _record_hash(record)
 
 
-def _reports_of(member: Member) -> tuple[Finding | Standing, ...]:
+def _reports_of(member: Member) -> tuple[Finding | RolloutStatus, ...]:
     return *member.findings, *member.standings
 
 
--- a/hornbeamgw/core/spreading.py
+++ b/hornbeamgw/core/spreading.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from hornbeamgw.core.membership import Member, Status
-from hornbeamgw.core.rendezvous import top
+from hornbeamgw.core.rendezvous import select_members
 
 FANOUT = 4
 # Bounds of the range of all addresses; "~" sorts after every address.
@@ -93,7 +93,7 @@
 
 def _select_relay(group: Sequence[Member], version: int, scope: Scope) -> Target:
     alive = [m for m in group if m.status is Status.ALIVE] or group
-    return Target(top(str(version), alive, 1)[0].address, scope)
+    return Target(select_members(str(version), alive, 1)[0].address, scope)
 
 
 def _select_relays(
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -92,13 +92,13 @@
     Mutant(
         "a version on trial gets no more than its part",
         "hornbeamgw/core/exposure.py",
-        (("    return spent.sent + rng.random() <= allowed", "    return True"),),
+        (("    return counts.sent + rng.random() <= allowed", "    return True"),),
         ROLLOUTS,
     ),
     Mutant(
         "what was decided on a rollout is not undone by a later word",
         "hornbeamgw/core/standing.py",
-        (("decided = standing.phase if standing.is_final else 0", "decided = 0"),),
+        (("decided = status.phase if status.is_final else 0", "decided = 0"),),
         ROLLOUTS,
     ),
     Mutant(
@@ -106,8 +106,8 @@
         "hornbeamgw/core/evidence.py",
         (
             (
-                "    return found\n\n\ndef has_enough",
-                "    return Suspicion(0.0)\n\n\ndef has_enough",
+                "    return found\n\n\ndef has_enough_answers",
+                "    return Degradation(0.0)\n\n\ndef has_enough_answers",
             ),
         ),
         ROLLOUTS,
@@ -127,13 +127,13 @@
     Mutant(
         "an order is completed only once servers of before are drained",
         "hornbeamgw/core/rollout.py",
-        (("    return tally.closed_step == state.standing.step", "    return True"),),
+        (("    return tally.closed_step == state.status.step", "    return True"),),
         ROLLOUTS,
     ),
     Mutant(
         "a version without an order waits for one",
         "hornbeamgw/core/exposure.py",
-        (("    return is_later and now < seen + NEWCOMER_S", "    return False"),),
+        (("    return is_later and now < seen + NEW_VERSION_HOLD_S", "    return False"),),
         ROLLOUTS,
     ),
     Mutant(
@@ -174,7 +174,7 @@
     Mutant(
         "less urgent requests leave budget to more urgent ones",
         "hornbeamgw/core/retry_budget.py",
-        (("        allowed *= LESS_URGENT_PART\n", "        pass\n"),),
+        (("        allowed *= LESS_URGENT_RATIO\n", "        pass\n"),),
         BUDGET,
     ),
     Mutant(
@@ -204,7 +204,7 @@
     Mutant(
         "a run of a server that was followed by a later one never comes back",
         "hornbeamgw/core/registration.py",
-        (("if now - state.heard_at < LATE_WITHIN_S:", "if False:"),),
+        (("if now - state.received_at < LATE_HEARTBEAT_WINDOW_S:", "if False:"),),
         REBORN,
     ),
     Mutant(
@@ -216,7 +216,7 @@
     Mutant(
         "what a call moves weighs against leaving its data centre",
         "hornbeamgw/core/crossing.py",
-        (("return size / (size + HALF_WORTH_BYTES)", "return 0.0"),),
+        (("return size / (size + HALF_VALUE_BYTES)", "return 0.0"),),
         CROSSING,
     ),
     Mutant(
@@ -228,7 +228,7 @@
     Mutant(
         "a server that breaks off all is left alone",
         "hornbeamgw/core/breaker.py",
-        (("OPEN_AFTER = 2", "OPEN_AFTER = 10**9"),),
+        (("OPEN_AFTER_LOSSES = 2", "OPEN_AFTER_LOSSES = 10**9"),),
         BREAKER,
     ),
     Mutant(
@@ -377,7 +377,7 @@
     Mutant(
         "a large answer leaves at the pace of the link",
         "hornbeamgw/core/pacing.py",
-        (("return max(0.0, state.free_at - now - BACKLOG_S)", "return 0.0"),),
+        (("return max(0.0, state.free_at - now - MAX_BACKLOG_S)", "return 0.0"),),
         PACING,
     ),
     Mutant(
@@ -394,7 +394,7 @@
     Mutant(
         "gates of one's own data centre are asked first",
         "hornbeamgw/core/sampling.py",
-        (("(c.member.data_centre == choice.me.data_centre) is is_near", "True"),),
+        (("(c.member.data_centre == choice.me.data_centre) is is_local", "True"),),
         SAMPLING,
     ),
     Mutant(
