--- a/hornbeamgw/commands/catalogue.py
+++ b/hornbeamgw/commands/catalogue.py
@@ -25,7 +25,7 @@
 from hornbeamgw.commands.exits import ExitCode
 from hornbeamgw.commands.output import fail, fail_with_problems, print_json, print_rows, read_file
 from hornbeamgw.core.catalogue import Item, ParsedFile, parse_file, validate
-from hornbeamgw.core.edit import Catalogue, Change, Edit, changes_of
+from hornbeamgw.core.edit import Catalogue, Change, Edit, requested_changes
 from hornbeamgw.daemon.http1 import ConnectionLost
 
 MAX_SEND_ATTEMPTS = 5
@@ -103,7 +103,7 @@
     def __call__(self) -> None:
         """Print the changes."""
         current = _fetch_catalogue(self.daemon)
-        changes = changes_of(current, _parse(self.file), self.prune, True)
+        changes = requested_changes(current, _parse(self.file), self.prune, True)
         rows = [_diff_row(current, change) for change in changes]
         print_rows(rows, ("key", "what", "current", "wanted"), self.output)
 
@@ -152,7 +152,9 @@
     def __call__(self) -> None:
         """Apply the file; with --wait, fail if it is not in force on all daemons in time."""
         parsed = _parse(self.file)
-        changes = changes_of(_fetch_catalogue(self.daemon), parsed, self.prune, self.onto_current)
+        changes = requested_changes(
+            _fetch_catalogue(self.daemon), parsed, self.prune, self.onto_current
+        )
         edit_id = self.edit_id or uuid.uuid4().hex
         if not changes and not self.edit_id:
             self._print_result({"version": _fetch_catalogue(self.daemon).version, "changes": 0})
