--- a/hornbeamgw/daemon/histograms.py
+++ b/hornbeamgw/daemon/histograms.py
@@ -23,12 +23,12 @@
         """Create an empty collection."""
         self._by_key: dict[tuple[OwnerAndClass, Verdict], Any] = {}
 
-    def record(self, owner: OwnerAndClass, verdict: Verdict, elapsed: float) -> None:
+    def record(self, owner_and_class: OwnerAndClass, verdict: Verdict, elapsed: float) -> None:
         """Record a call that took `elapsed` seconds."""
-        histogram = self._by_key.get((owner, verdict))
+        histogram = self._by_key.get((owner_and_class, verdict))
         if histogram is None:
             histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
-            self._by_key[owner, verdict] = histogram
+            self._by_key[owner_and_class, verdict] = histogram
         histogram.record_value(max(MIN_LATENCY_US, round(elapsed * 1_000_000)))
 
     def rows(self) -> list[dict[str, Any]]:
--- a/hornbeamgw/daemon/planned_stop.py
+++ b/hornbeamgw/daemon/planned_stop.py
@@ -54,13 +54,13 @@
         )
         if drained.done():
             return []
-        cut_off = self._cancel_unfinished()
+        cancelled = self._cancel_unfinished()
         log.error(
-            "daemon stopped with requests in flight; cancelling them", extra={"cut_off": cut_off}
+            "daemon stopped with requests in flight; cancelling them", extra={"cut_off": cancelled}
         )
         self._calls.give_up()
         await asyncio.wait([drained], timeout=CANCEL_TIMEOUT_S)
-        return cut_off
+        return cancelled
 
     async def _drain(self) -> None:
         await asyncio.sleep(PROPAGATION_DELAY_S)
--- a/hornbeamgw/daemon/sources.py
+++ b/hornbeamgw/daemon/sources.py
@@ -46,10 +46,10 @@
     head_includes_catalogue: bool
 
     async def read_head(self) -> SourceHead:
-        """Read and return the newest version, without using cached data."""
+        """Start a new read and return the newest version."""
 
     async def wait_for_change(self, timeout: float) -> SourceHead | None:
-        """Wait up to `timeout` seconds for a change; return the head if it was read meanwhile."""
+        """Wait up to `timeout` seconds for a change; return None if the head must be read again."""
 
     async def catch_up(self, head: SourceHead) -> bool:
         """Fetch and store the missing versions up to a head; return whether there were any."""
@@ -129,9 +129,9 @@
             self._control.learn_catalogue(blob, Origin(ArrivalPath.SNAPSHOT, PLATFORM))
 
     async def _fetch_deltas(self, head: Head) -> bool:
-        known = self._control.versions.catalogue.version
+        known_version = self._control.versions.catalogue.version
         blobs = []
-        for version in range(known + 1, head["version"] + 1):
+        for version in range(known_version + 1, head["version"] + 1):
             row = await self._table.read(commit.delta_key(version))
             self.reads += 1
             if row is None:
@@ -166,11 +166,11 @@
         """Read the row; the version is 0 if there is no valid one. Raise PlatformError."""
         self.reads += 1
         page = await self._rows.read(self._row.table)
-        is_era_new = self._era is not None and page.era != self._era
+        is_restored = self._era is not None and page.era != self._era
         self._watched_revision, self._era = page.revision, page.era
         self._control.note_era(page.era)
         head = self._head_of(page) or SourceHead(0, None)
-        if is_era_new:
+        if is_restored:
             self._log_restored_store(head, page.era)
         self._notify(page)
         return head
@@ -182,12 +182,12 @@
         bodies_by_key = {key: item.body for key, item in known.items.items()}
         if head.version == known.version and head.content != bodies_by_key:
             log.error(
-                "config store has different content for this version; keeping the known content",
+                "restored config store has other content for this version; keeping known content",
                 extra=details,
             )
         elif head.version < known.version:
             log.warning(
-                "config store is older than the known version; keeping the known version",
+                "restored config store has an older version; keeping the newer one",
                 extra=details,
             )
         else:
