--- a/features/steps/pacing.py
+++ b/features/steps/pacing.py
@@ -72,7 +72,7 @@
     left = kilobytes * 1000
     while left:
         part = min(pacer.part_bytes, left)
-        await pacer.leave(part, left, urgency)
+        await pacer.wait_to_send(part, left, urgency)
         left -= part
     context.order.append(kilobytes)
     context.sent_at[kilobytes] = asyncio.get_running_loop().time() - began
@@ -111,7 +111,7 @@
         tasks = [asyncio.create_task(each) for each in sending]
         for size in urgent:
             await asyncio.sleep(0.02)
-            urgencies[size].hurry(loop.time())
+            urgencies[size].mark_urgent(loop.time())
             pacer.reorder()
         await asyncio.gather(*tasks)
 
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -62,7 +62,7 @@
 from hornbeamgw.daemon.link import LinkLost
 from hornbeamgw.daemon.progress import Progress, Unfinished, unfinished
 from hornbeamgw.daemon.quarantine import Quarantine
-from hornbeamgw.daemon.request_body import answer_expect, take_body
+from hornbeamgw.daemon.request_body import read_body, send_continue
 from hornbeamgw.daemon.server_answer import SERVER_ERROR
 from hornbeamgw.daemon.servers import Servers
 
@@ -148,12 +148,12 @@
             log_refused(call_id, found, view.snapshot.version)
             self._fail(connection, found, call_id)
             return
-        answer_expect(connection)
-        await take_body(connection, found, self._replay_limit)
+        send_continue(connection)
+        await read_body(connection, found, self._replay_limit)
         found.fingerprint = fingerprint_of_call(found, self._dialect)
         found.progress = Progress(started)
         if self.draining:
-            found.urgency.hurry(started)
+            found.urgency.mark_urgent(started)
         timer = loop.call_at(found.deadline, self._expire, found)
         connection.on_lost = lambda: self._leave(found)
         self._under_way.add(found)
@@ -178,7 +178,7 @@
         self.draining = True
         self._stop = plan
         for call in self._under_way:
-            call.urgency.hurry(plan.began_at)
+            call.urgency.mark_urgent(plan.began_at)
             if call.current is not None:
                 _hurry(call.current)
         self._pacer.reorder()
--- a/hornbeamgw/daemon/control.py
+++ b/hornbeamgw/daemon/control.py
@@ -19,7 +19,7 @@
 from hornbeamgw.core.versions import Origin, Path, VersionState
 from hornbeamgw.daemon import codec, datagrams, frames
 from hornbeamgw.daemon.link import LinkLost, exchange
-from hornbeamgw.daemon.meter import Bucket, Meter
+from hornbeamgw.daemon.meter import Meter, TokenBucket
 
 log = logging.getLogger(__name__)
 
@@ -66,7 +66,7 @@
         self._fleet = datagrams.fleet_hash(settings.fleet)
         self._transport: asyncio.DatagramTransport | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._transfers = Bucket(TRANSFER_RATE, TRANSFER_BURST)
+        self._transfers = TokenBucket(TRANSFER_RATE, TRANSFER_BURST)
         self._whole: tuple[int, bytes] = (-1, b"")
 
     @property
@@ -310,7 +310,7 @@
         whole = self._whole[1]
         if blobs is not None and sum(map(len, blobs)) <= len(whole):
             return frames.Deltas(blobs)
-        if not self._transfers.take(len(whole), _moment().now):
+        if not self._transfers.try_consume(len(whole), _moment().now):
             return None
         return frames.WholeCatalogue(whole)
 
@@ -320,7 +320,7 @@
         """Take the record of a daemon that joins and return the view, or None over the rate."""
         moment = _moment()
         members = node.join(self.node, member, moment)
-        if not self._transfers.take(VIEW_RECORD_BYTES * len(members), moment.now):
+        if not self._transfers.try_consume(VIEW_RECORD_BYTES * len(members), moment.now):
             return None
         return frames.View(members)
 
--- a/hornbeamgw/daemon/flow.py
+++ b/hornbeamgw/daemon/flow.py
@@ -1,4 +1,4 @@
-"""Flow: mailboxes of one reader, windows that bound what is under way, and the pace of a link."""
+"""Flow control: mailboxes with one reader, credit windows, and pacing of large bodies on a link."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 T = TypeVar("T")
 
-WINDOW = 256 * 1024
+# Credit that is granted for a request body at its start.
+WINDOW_BYTES = 256 * 1024
 
 
 class Mailbox(Generic[T]):
-    """Hold messages for the one task that reads them."""
+    """An unbounded queue of messages with a single reader."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty mailbox."""
         self._messages: deque[T] = deque()
         self._waiter: asyncio.Future[None] | None = None
 
@@ -31,7 +32,7 @@
             self._waiter.set_result(None)
 
     async def get(self) -> T:
-        """Return the oldest message."""
+        """Wait for a message; remove and return the oldest one."""
         while not self._messages:
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
@@ -39,21 +40,24 @@
 
 
 class Window:
-    """Hold how many bytes may still be sent before the other side grants more."""
+    """A flow-control window: the bytes that may be sent before the receiver grants more credit."""
 
     def __init__(self, size: int) -> None:
-        """Start with a first grant (bytes)."""
+        """Create a window with an initial credit of `size` bytes."""
         self.available = size
         self._waiter: asyncio.Future[None] | None = None
 
     def add(self, size: int) -> None:
-        """Grant more bytes."""
+        """Add `size` bytes of credit and wake the sender."""
         self.available += size
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    async def take(self, size: int) -> None:
-        """Wait until something may be sent, then use up this many bytes."""
+    async def consume(self, size: int) -> None:
+        """Wait until the credit is positive, then subtract `size` bytes.
+
+        The credit may become negative, so that a part larger than the window can be sent.
+        """
         while self.available <= 0:
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
@@ -61,20 +65,20 @@
 
 
 class Urgency:
-    """Hold since when (loop time, s) a body goes before others, infinite where it doesn't."""
+    """The loop time (s) since which a body has priority over others; infinite if it has none."""
 
     def __init__(self) -> None:
-        """Start as a body that may take any time."""
+        """Create the urgency of a body without priority."""
         self.since = math.inf
 
-    def hurry(self, now: float) -> None:
-        """Go before others from now on, but for those that have done so for longer."""
+    def mark_urgent(self, now: float) -> None:
+        """Give the body priority from `now` on; bodies that became urgent earlier go first."""
         self.since = min(self.since, now)
 
 
 class _Part(NamedTuple):
     urgent_since: float
-    left: int
+    remaining: int
     order: int
     size: int
     released: asyncio.Future[None]
@@ -82,17 +86,19 @@
 
 
 class Pacer:
-    """Own the pace at which parts of large bodies leave this VM; the one with least left goes next.
+    """A scheduler that sends parts of large bodies at the rate of this VM's link.
+
+    Parts are sent in order of the shortest remaining body, which completes most bodies earlier than
+    round robin: of two bodies that would both miss their deadlines, one meets it. Shorter bodies
+    could delay a longer one indefinitely, so urgent bodies are sent first, in the order in which
+    they became urgent.
 
-    Least left first lets most bodies arrive sooner than turns would: of two that would both be
-    late, one is in time. A larger one may wait for as long as smaller ones come, so that bodies
-    that must arrive by some moment go before, in the order in which they became urgent. What waits
-    to leave for other daemons and for callers is counted in bytes by those who hold it, for those
-    who take on more to judge by.
+    `pending` and `pending_for_callers` count the bytes waiting to be sent to other daemons and to
+    callers. Their owners update them, and admission uses them to estimate transfer times.
     """
 
     def __init__(self, bandwidth: float = 0.0) -> None:
-        """Take the bandwidth of the VM's link (bytes/s), 0 where it is not known."""
+        """Create a pacer for a link of a bandwidth in bytes/s; 0 (unknown) disables pacing."""
         self._state = LinkState(bandwidth)
         self._waiting: list[_Part] = []
         self._order = 0
@@ -104,30 +110,30 @@
         self.window_bytes = pacing.window_bytes(self._state)
 
     def split(self, body: bytes) -> list[bytes]:
-        """Return a body in the parts that leave one at a time."""
+        """Split a body into parts that are sent one at a time."""
         size = self.part_bytes
         return [body[start : start + size] for start in range(0, len(body), size)]
 
-    async def leave(self, size: int, left: int, urgency: Urgency | None = None) -> None:
-        """Wait until a part of this many bytes may leave, of a body with so many bytes left."""
+    async def wait_to_send(self, size: int, remaining: int, urgency: Urgency | None = None) -> None:
+        """Wait until a part of `size` bytes of a body with `remaining` bytes may be sent."""
         if self.rate <= 0:
             return
         loop = asyncio.get_running_loop()
         self._order += 1
         urgency = urgency or Urgency()
         released = loop.create_future()
-        part = _Part(urgency.since, left, self._order, size, released, urgency)
+        part = _Part(urgency.since, remaining, self._order, size, released, urgency)
         heapq.heappush(self._waiting, part)
         self._release()
         await part.released
 
     def reorder(self) -> None:
-        """Take up what has become urgent among the parts that wait."""
+        """Reorder the waiting parts after the urgency of a body has changed."""
         self._waiting = [part._replace(urgent_since=part.urgency.since) for part in self._waiting]
         heapq.heapify(self._waiting)
 
     def _release(self) -> None:
-        """Let parts leave for which the link has room, and come back for the others."""
+        """Release the parts that the link can send now; set a timer for the others."""
         loop = asyncio.get_running_loop()
         while self._waiting and self._timer is None:
             wait = pacing.wait_for_part(self._state, loop.time())
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -152,7 +152,7 @@
         self.exchange.is_leaving = True
         for attempt in self._attempts.values():
             if attempt.outgoing is not None:
-                attempt.outgoing.leave()
+                attempt.outgoing.expedite()
         self.drain("the daemon stops")
 
     def drain(self, why: str) -> None:
--- a/hornbeamgw/daemon/gate_attempt.py
+++ b/hornbeamgw/daemon/gate_attempt.py
@@ -15,7 +15,7 @@
 from hornbeamgw.daemon.flow import Mailbox, Urgency
 from hornbeamgw.daemon.http1 import HttpConnection
 from hornbeamgw.daemon.link import Link
-from hornbeamgw.daemon.outgoing import Outgoing
+from hornbeamgw.daemon.outgoing import OutgoingAnswer
 from hornbeamgw.daemon.progress import Progress
 
 log = logging.getLogger(__name__)
@@ -31,7 +31,7 @@
         self.call = call
         self.bodies: Mailbox[frames.Body] = Mailbox()
         self.task: asyncio.Task[Failure | None] | None = None
-        self.outgoing: Outgoing | None = None
+        self.outgoing: OutgoingAnswer | None = None
         self.urgency = Urgency()
         self.limit: asyncio.Timeout | None = None
         self.ended_by: Failure | None = None
@@ -52,7 +52,7 @@
 
 def hurry(attempt: GateAttempt) -> None:
     """Send the answer of an attempt, or what is left of it, before others."""
-    attempt.urgency.hurry(asyncio.get_running_loop().time())
+    attempt.urgency.mark_urgent(asyncio.get_running_loop().time())
     if attempt.outgoing is not None:
         attempt.outgoing.reorder()
 
--- a/hornbeamgw/daemon/meter.py
+++ b/hornbeamgw/daemon/meter.py
@@ -1,4 +1,4 @@
-"""Meter: control bytes and messages by kind, and a bucket that bounds large transfers."""
+"""Control traffic: counters by message kind, and a token bucket that limits large transfers."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Meter:
-    """Count what control costs this daemon."""
+    """Counters of the control traffic of this daemon, by message kind."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Create counters that are all zero."""
         self.bytes_in: Counter[str] = Counter()
         self.bytes_out: Counter[str] = Counter()
         self.messages_in: Counter[str] = Counter()
@@ -18,30 +18,30 @@
         self.crossed: Counter[str] = Counter()
 
     def sent(self, kind: str, size: int) -> None:
-        """Count a message sent (bytes)."""
+        """Count a sent message of `size` bytes."""
         self.bytes_out[kind] += size
         self.messages_out[kind] += 1
 
     def received(self, kind: str, size: int) -> None:
-        """Count a message received (bytes)."""
+        """Count a received message of `size` bytes."""
         self.bytes_in[kind] += size
         self.messages_in[kind] += 1
 
 
-class Bucket:
-    """Hold tokens that refill at a rate, so that a storm can't take all of a link."""
+class TokenBucket:
+    """A token bucket that keeps bursts of transfers from using all of a link's bandwidth."""
 
     def __init__(self, rate: float, burst: float) -> None:
-        """Take the refill (per second) and the most that can be saved up."""
+        """Create a full bucket of `burst` tokens that is refilled with `rate` tokens per second."""
         self.rate = rate
         self.burst = burst
         self.tokens = burst
-        self.at = 0.0
+        self.refilled_at = 0.0
 
-    def take(self, amount: float, now: float) -> bool:
-        """Return whether this much may be used now; a full bucket lets any amount through."""
-        self.tokens = min(self.burst, self.tokens + (now - self.at) * self.rate)
-        self.at = now
+    def try_consume(self, amount: float, now: float) -> bool:
+        """Consume tokens if there are enough; a full bucket permits any amount."""
+        self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
         if self.tokens < min(amount, self.burst):
             return False
         self.tokens -= amount
--- a/hornbeamgw/daemon/outgoing.py
+++ b/hornbeamgw/daemon/outgoing.py
@@ -1,7 +1,7 @@
-"""Outgoing: carries the rest of an answer to another daemon after the server has given it.
+"""Outgoing answers: send the remainder of an answer to another daemon in the background.
 
-A backend server's slot is free once its answer has been read; how long the answer then takes to
-cross a narrow link holds up neither the slot nor what else crosses that link.
+The backend server's slot is free once its answer has been read. A slow transfer on a narrow link
+thus blocks neither the slot nor other messages on that link.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 from hornbeamgw.daemon.link import Link
 from hornbeamgw.daemon.progress import Progress, WaitsFor
 
-# Read ahead of the link by this much of one answer: the users' largest are 1.7 MB.
+# Bytes of one answer that are read from the backend server before they are sent. Typical answers
+# fit, so that they do not occupy a slot while they are sent.
 BUFFER_BYTES = 2 * 1024 * 1024
 
 
@@ -24,19 +25,19 @@
     end: bool
 
 
-class Outgoing:
-    """Own the rest of one answer until it is sent."""
+class OutgoingAnswer:
+    """The unsent remainder of one answer, and the task that sends it."""
 
     def __init__(
         self,
         link: Link,
         attempt: int,
         pacer: Pacer,
-        limit: float,
+        give_up_at: float,
         on_stalled: Callable[[], None],
         urgency: Urgency,
     ) -> None:
-        """Take where it goes, at which pace, and until when (loop time, s) it may take."""
+        """Start sending on `link`; call `on_stalled` if it is not complete at `give_up_at` (s)."""
         self.window = Window(pacer.window_bytes)
         self.progress = Progress(asyncio.get_running_loop().time())
         self._link = link
@@ -45,43 +46,43 @@
         self._urgency = urgency
         self._on_stalled = on_stalled
         self._chunks: Mailbox[_Chunk] = Mailbox()
-        self._room = Window(BUFFER_BYTES)
+        self._buffer = Window(BUFFER_BYTES)
         self._pending = 0
         self._is_stopped = False
-        self.task = asyncio.create_task(self._run(limit))
+        self.task = asyncio.create_task(self._run(give_up_at))
 
     def put(self, data: bytes, end: bool) -> None:
-        """Add what the server gave; what nobody takes any more is dropped."""
+        """Queue data from the backend server; discard it if sending has been stopped."""
         if self._is_stopped:
             return
-        self._room.available -= len(data)
+        self._buffer.available -= len(data)
         self._pending += len(data)
         self._pacer.pending += len(data)
         self._chunks.put(_Chunk(data, end))
 
-    async def room(self) -> None:
-        """Wait until more may be read from the server."""
-        await self._room.take(0)
+    async def drain(self) -> None:
+        """Wait until the buffer has room for more data from the backend server."""
+        await self._buffer.consume(0)
 
-    def leave(self) -> None:
-        """Tell the other daemon that the rest must be taken soon, and send it before others."""
-        self._urgency.hurry(asyncio.get_running_loop().time())
+    def expedite(self) -> None:
+        """Give the answer priority and notify the other daemon that this daemon is stopping."""
+        self._urgency.mark_urgent(asyncio.get_running_loop().time())
         self._pacer.reorder()
         self._link.send(frames.Body(self._attempt, b"", False, leaving=True))
 
     def reorder(self) -> None:
-        """Take up that the answer has become urgent while a part of it waits."""
+        """Reorder the waiting parts after the answer has become urgent."""
         self._pacer.reorder()
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stop sending and unblock the reader of the backend server's answer."""
         self._is_stopped = True
         self.task.cancel()
-        self._room.add(1 << 62)
+        self._buffer.add(1 << 62)
 
-    async def _run(self, limit: float) -> None:
+    async def _run(self, give_up_at: float) -> None:
         try:
-            async with asyncio.timeout_at(limit):
+            async with asyncio.timeout_at(give_up_at):
                 await self._send_all()
         except TimeoutError:
             self._on_stalled()
@@ -95,11 +96,11 @@
             chunk = await self._chunks.get()
             for part in self._pacer.split(chunk.data):
                 self.progress.wait(WaitsFor.OTHER_DAEMON, loop.time())
-                await self.window.take(len(part))
+                await self.window.consume(len(part))
                 self.progress.wait(WaitsFor.LINK, loop.time())
-                await self._pacer.leave(len(part), self._pending, self._urgency)
+                await self._pacer.wait_to_send(len(part), self._pending, self._urgency)
                 self._link.send(frames.Body(self._attempt, part, False))
-                self._room.add(len(part))
+                self._buffer.add(len(part))
                 self.progress.passed_on += len(part)
                 self._pending -= len(part)
                 self._pacer.pending -= len(part)
--- a/hornbeamgw/daemon/relay.py
+++ b/hornbeamgw/daemon/relay.py
@@ -20,11 +20,11 @@
 async def upload(connection: HttpConnection, call: Call, attempt: Attempt) -> None:
     """Carry the rest of a request's body, as far as the other side grants it."""
     while True:
-        await attempt.upload.take(0)
+        await attempt.upload.consume(0)
         call.started_stream = True
         event = await connection.next_event()
         if isinstance(event, h11.Data):
-            await attempt.upload.take(len(event.data))
+            await attempt.upload.consume(len(event.data))
             attempt.link.send(frames.Body(attempt.number, bytes(event.data), False))
         elif isinstance(event, h11.EndOfMessage):
             attempt.link.send(frames.Body(attempt.number, b"", True))
@@ -74,7 +74,7 @@
                 raise ConnectionLost(f"{type(event).__name__} before the end of the answer")
             if event.data:
                 progress.wait(WaitsFor.LINK, loop.time())
-                await pacer.leave(len(event.data), left, call.urgency)
+                await pacer.wait_to_send(len(event.data), left, call.urgency)
                 after = max(len(event.data), left - len(event.data))
                 pacer.pending_for_callers += after - left
                 left = after
--- a/hornbeamgw/daemon/request_body.py
+++ b/hornbeamgw/daemon/request_body.py
@@ -1,4 +1,4 @@
-"""Request body: what a call takes of its caller's body before its first attempt."""
+"""Request bodies: read from the caller before the first attempt of a call."""
 
 from __future__ import annotations
 
@@ -11,22 +11,25 @@
 from hornbeamgw.daemon.http_server import BadRequest
 
 
-async def take_body(connection: HttpConnection, call: Call, most: int) -> None:
-    """Take a whole body, or as much (bytes) as can be sent again; raise BadRequest when late."""
-    # Most requests have arrived whole with their head, and need no timer for the rest.
-    if _take_arrived(connection, call, most):
+async def read_body(connection: HttpConnection, call: Call, max_size: int) -> None:
+    """Read the body until it is complete or exceeds `max_size` bytes, the limit for retries.
+
+    Raise BadRequest if the body does not arrive before the deadline.
+    """
+    # Most bodies arrive together with the request head and need no timer.
+    if _read_available(connection, call, max_size):
         return
     try:
         async with asyncio.timeout_at(call.deadline):
-            while not _take_arrived(connection, call, most):
+            while not _read_available(connection, call, max_size):
                 await connection.wait_input()
     except TimeoutError:
         raise BadRequest(408, "the request's body did not arrive in time") from None
 
 
-def _take_arrived(connection: HttpConnection, call: Call, most: int) -> bool:
-    """Take what has arrived of a body; return whether that is all, or enough to begin with."""
-    while len(call.body) <= most:
+def _read_available(connection: HttpConnection, call: Call, max_size: int) -> bool:
+    """Read the data received so far; return whether the first attempt can start."""
+    while len(call.body) <= max_size:
         event = connection.poll()
         if event is None:
             return False
@@ -38,7 +41,7 @@
     return True
 
 
-def answer_expect(connection: HttpConnection) -> None:
-    """Let a caller that waits for it send its body."""
+def send_continue(connection: HttpConnection) -> None:
+    """Send `100 Continue` if the caller expects it before sending the body."""
     if connection.http.they_are_waiting_for_100_continue:
         connection.send(h11.InformationalResponse(status_code=100, headers=[]))
--- a/hornbeamgw/daemon/server_exchange.py
+++ b/hornbeamgw/daemon/server_exchange.py
@@ -20,11 +20,11 @@
 from hornbeamgw.daemon import frames, heads, server_answer
 from hornbeamgw.daemon.backend_pool import BackendPool, PoolFull
 from hornbeamgw.daemon.end_watch import EndWatch
-from hornbeamgw.daemon.flow import WINDOW, Pacer
+from hornbeamgw.daemon.flow import WINDOW_BYTES, Pacer
 from hornbeamgw.daemon.gate_attempt import GateAttempt, pump_body
 from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, end_to_end, header
 from hornbeamgw.daemon.link import Link
-from hornbeamgw.daemon.outgoing import Outgoing
+from hornbeamgw.daemon.outgoing import OutgoingAnswer
 
 log = logging.getLogger(__name__)
 
@@ -103,7 +103,7 @@
         try:
             sent = self._send_request(connection, call, attempt.deadline)
             if not call.end:
-                attempt.link.send(frames.Credit(call.attempt, WINDOW))
+                attempt.link.send(frames.Credit(call.attempt, WINDOW_BYTES))
                 pump = asyncio.create_task(pump_body(attempt, connection))
             return await self._relay_reply(attempt, connection, sent)
         except (ConnectionLost, h11.ProtocolError, msgspec.MsgspecError) as error:
@@ -194,16 +194,16 @@
             body, end = await server_answer.next_part(connection)
             outgoing.put(body, end)
             size += len(body)
-            await outgoing.room()
+            await outgoing.drain()
         transfers.note_size(self._transfers, attempt.call.route, size)
         return None
 
-    def _open_outgoing(self, attempt: GateAttempt, limit: float) -> Outgoing:
+    def _open_outgoing(self, attempt: GateAttempt, limit: float) -> OutgoingAnswer:
         link, number = attempt.link, attempt.call.attempt
         pacer = self._pacer if link.peer != link.hello else Pacer()
-        attempt.outgoing = Outgoing(
+        attempt.outgoing = OutgoingAnswer(
             link, number, pacer, limit, lambda: self._on_stalled(attempt), attempt.urgency
         )
         if self.is_leaving:
-            attempt.outgoing.leave()
+            attempt.outgoing.expedite()
         return attempt.outgoing
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -51,7 +51,7 @@
     Mutant(
         "answers go first that a daemon which stops waits for",
         "hornbeamgw/daemon/gate_attempt.py",
-        (("    attempt.urgency.hurry(asyncio.get_running_loop().time())\n", ""),),
+        (("    attempt.urgency.mark_urgent(asyncio.get_running_loop().time())\n", ""),),
         STOPPING,
     ),
     Mutant(
@@ -385,7 +385,7 @@
         "hornbeamgw/daemon/server_exchange.py",
         (
             (
-                "            await outgoing.room()\n        transfers",
+                "            await outgoing.drain()\n        transfers",
                 "        await outgoing.task\n        transfers",
             ),
         ),
