--- a/features/steps/server_ends.py
+++ b/features/steps/server_ends.py
@@ -12,7 +12,7 @@
 from hornbeamgw.core.registration import Announcement
 from hornbeamgw.core.snapshot import EMPTY, Limits
 from hornbeamgw.daemon import frames
-from hornbeamgw.daemon.end_watch import EndWatch
+from hornbeamgw.daemon.end_watch import CrashDetector
 from hornbeamgw.daemon.gate import Gate
 from hornbeamgw.testing.asker import HEAD, Asker
 from hornbeamgw.testing.local import wait_for
@@ -82,15 +82,15 @@
 @given("a watch over a server that is gone")
 def watch_gone(context):
     context.ran = []
-    context.watch = EndWatch(Gone(), context.ran.extend)
+    context.watch = CrashDetector(Gone(), context.ran.extend)
 
 
 @when("{count:d} requests are given up on, and then one is lost")
 def given_up(context, count):
     async def run():
         for fingerprint in range(1, count + 1):
-            context.watch.note_given_up(fingerprint)
-        context.watch.note_lost(count + 1)
+            context.watch.record_abandoned(fingerprint)
+        context.watch.record_lost(count + 1)
         await wait_for(lambda: context.ran)
 
     context.lost = count + 1
--- a/hornbeamgw/daemon/backend_pool.py
+++ b/hornbeamgw/daemon/backend_pool.py
@@ -1,4 +1,4 @@
-"""Connections to the backend server beside this daemon."""
+"""Backend pool: HTTP connections to the backend server on the same VM."""
 
 from __future__ import annotations
 
@@ -10,70 +10,72 @@
 from hornbeamgw.daemon.http1 import HttpConnection, dial
 
 IDLE_MAX_S = 8.0
-KEEP_ALIVE_PART = 0.8  # leaves time for a request to arrive before the server closes
+# Ratio of the server's keep-alive timeout for which a connection is reused, so that a request
+# arrives before the server closes the connection.
+KEEP_ALIVE_RATIO = 0.8
 _KEEP_ALIVE = re.compile(rb"timeout=([0-9]+)")
-DIAL_TIMEOUT_S = 0.25  # the server is on the same VM: a dial takes 1 ms
-IDLE_MAX_FIRST_SEND_S = 0.25
+DIAL_TIMEOUT_S = 0.25
+IDLE_MAX_NON_IDEMPOTENT_S = 0.25
 
 
 class PoolFull(ConnectionError):
-    """Say that no more connections may be opened."""
+    """Raised when all connections that the backend server allows are in use."""
 
 
 class BackendPool:
-    """Keep idle connections, and never more in all than the server announced."""
+    """Connections to one backend server, limited to the number that the server announced."""
 
     def __init__(self) -> None:
-        """Start without an address."""
+        """Create an empty pool; `configure` sets the address."""
         self.address = ""
         self.connections = 0
-        self.opened = 0
+        self.opened_count = 0
         self._idle: list[tuple[HttpConnection, float]] = []
         self._open: set[HttpConnection] = set()
         self._reused: set[HttpConnection] = set()
         self._unused: set[HttpConnection] = set()
-        self._kept_alive_by_connection: dict[HttpConnection, float] = {}
+        self._max_idle_by_connection: dict[HttpConnection, float] = {}
 
     def configure(self, address: str, connections: int) -> None:
-        """Take the address of the server and the most connections it allows."""
+        """Set the address of the server and the maximum number of connections."""
         if address != self.address:
             self.close_idle()
         self.address = address
         self.connections = connections
 
     async def acquire(self, idempotent: bool) -> HttpConnection:
-        """Return a connection to send on; raise OSError where none can be had.
+        """Return an idle or new connection; raise OSError or TimeoutError if there is none.
 
-        A non-idempotent request is not sent on a connection that was idle for long, for the
-        server may have closed it, and then nobody could tell whether the request ran.
+        A non-idempotent request is not sent on a connection that has been idle for long: if the
+        server is closing it, the daemon can't know whether the request ran.
         """
         now = asyncio.get_running_loop().time()
-        longest = IDLE_MAX_S if idempotent else IDLE_MAX_FIRST_SEND_S
+        max_idle = IDLE_MAX_S if idempotent else IDLE_MAX_NON_IDEMPOTENT_S
         while self._idle:
-            connection, since = self._idle.pop()
-            fresh = now - since <= min(
-                longest, self._kept_alive_by_connection.get(connection, longest)
+            connection, idle_since = self._idle.pop()
+            is_usable = now - idle_since <= min(
+                max_idle, self._max_idle_by_connection.get(connection, max_idle)
             )
-            if fresh and not connection.lost and not connection.has_input():
-                self._take_idle(connection)
+            if is_usable and not connection.lost and not connection.has_input():
+                self._mark_reused(connection)
                 return connection
             self.discard(connection)
         if len(self._open) >= self.connections:
             raise PoolFull(f"all {self.connections} connections are in use")
         async with asyncio.timeout(DIAL_TIMEOUT_S):
             connection = await dial(self.address)
-        self.opened += 1
+        self.opened_count += 1
         self._open.add(connection)
         return connection
 
-    def _take_idle(self, connection: HttpConnection) -> None:
+    def _mark_reused(self, connection: HttpConnection) -> None:
         if connection in self._unused:
             self._unused.discard(connection)
         else:
             self._reused.add(connection)
 
     async def is_refused(self) -> bool:
-        """Return whether no process listens at the address any more; keep what a dial opens."""
+        """Return whether connections are refused; if not, add the opened one to the pool."""
         if len(self._open) >= self.connections:
             return False
         try:
@@ -83,35 +85,35 @@
             return True
         except (OSError, TimeoutError):
             return False
-        self.opened += 1
+        self.opened_count += 1
         self._open.add(connection)
         self._unused.add(connection)
         self._idle.append((connection, asyncio.get_running_loop().time()))
         return False
 
     def is_fresh(self, connection: HttpConnection) -> bool:
-        """Return whether a connection was opened for what is under way on it."""
+        """Return whether the current request is the first one on a connection."""
         return connection not in self._reused
 
     def note_keep_alive(self, connection: HttpConnection, value: bytes | None) -> None:
-        """Take how long the server says that it keeps an idle connection (s)."""
-        found = _KEEP_ALIVE.search(value or b"")
-        if found is not None:
-            kept = float(found[1]) * KEEP_ALIVE_PART
-            self._kept_alive_by_connection[connection] = kept
+        """Apply the timeout in the value of a `Keep-Alive` header."""
+        match = _KEEP_ALIVE.search(value or b"")
+        if match is not None:
+            kept = float(match[1]) * KEEP_ALIVE_RATIO
+            self._max_idle_by_connection[connection] = kept
 
     def release(self, connection: HttpConnection) -> None:
-        """Keep a connection whose exchange is complete; close any other."""
+        """Return a connection to the pool, or close it if its exchange is incomplete."""
         http = connection.http
-        whole = http.our_state is h11.DONE and http.their_state is h11.DONE
-        if whole and not connection.lost and not connection.has_input():
+        is_complete = http.our_state is h11.DONE and http.their_state is h11.DONE
+        if is_complete and not connection.lost and not connection.has_input():
             http.start_next_cycle()
             self._idle.append((connection, asyncio.get_running_loop().time()))
         else:
             self.discard(connection)
 
     def discard(self, connection: HttpConnection) -> None:
-        """Break a connection; it is never used again."""
+        """Remove a connection from the pool and abort it."""
         self._forget(connection)
         connection.abort()
 
@@ -119,10 +121,10 @@
         self._open.discard(connection)
         self._reused.discard(connection)
         self._unused.discard(connection)
-        self._kept_alive_by_connection.pop(connection, None)
+        self._max_idle_by_connection.pop(connection, None)
 
     def close_idle(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         for connection, _ in self._idle:
             self._forget(connection)
             connection.close()
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -32,7 +32,7 @@
 from hornbeamgw.daemon.progress import Unfinished, unfinished
 from hornbeamgw.daemon.quarantine import Quarantine
 from hornbeamgw.daemon.server_answer import SERVER_ERROR
-from hornbeamgw.daemon.server_exchange import MAX_WAIT_MS, ServerExchange
+from hornbeamgw.daemon.server_exchange import MAX_REPORTED_WAIT_MS, ServerExchange
 
 __all__ = ["Announcement", "Gate"]
 
@@ -314,7 +314,7 @@
         outlook = admission.outlook(self.state, request, asked.service, now)
         free = admission.free_slots(self.state)
         wait = outlook.wait + request.transfer
-        wait_ms = min(MAX_WAIT_MS, round(wait * 1000))
+        wait_ms = min(MAX_REPORTED_WAIT_MS, round(wait * 1000))
         self.counts["outlooks.taken" if outlook.would_admit else "outlooks.refused"] += 1
         return frames.Outlook(
             asked.number, outlook.would_admit, free, wait_ms, outlook.retry_after_ms
@@ -408,7 +408,7 @@
         if failure is None and attempt.status < SERVER_ERROR:
             self.quarantine.note_answered(attempt.call.fingerprint)
         if failure is not None and failure.reason in (Reason.CALLER_GONE, Reason.DEADLINE):
-            self.exchange.end_watch.note_given_up(attempt.call.fingerprint)
+            self.exchange.crash_detector.record_abandoned(attempt.call.fingerprint)
         has_worked = failure is None or failure.reason is Reason.DEADLINE
         decisions = admission.finish(self.state, attempt.id, started, now, has_worked)
         if failure is not None:
--- a/hornbeamgw/daemon/server_answer.py
+++ b/hornbeamgw/daemon/server_answer.py
@@ -1,4 +1,4 @@
-"""Server answer: asks the backend server, and tells its own answers from all else it sends."""
+"""Backend server answers: encode requests to the server, and validate its answers."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
 log = logging.getLogger(__name__)
 
-# Another server may be asked at once; one that is full is asked again after a short request.
+# Suggested delay before a request that the server refused is sent to the same server again.
 RETRY_AFTER_REFUSED_MS = 20
-# From this status on a server says that it failed; below it has done its work.
+# Lowest HTTP status that reports a failure of the server.
 SERVER_ERROR = 500
 
 
-class Head(NamedTuple):
-    """Hold the head of an answer, and how many answers to other requests came before it."""
+class ReceivedHead(NamedTuple):
+    """Hold the head of an answer, and the number of answers to other requests skipped before it."""
 
     response: h11.Response
-    foreign: int
+    skipped: int
 
 
 def request_events(
-    call: frames.Call, dialect: Dialect, instance: str, left: float
+    call: frames.Call, dialect: Dialect, instance: str, time_left: float
 ) -> list[h11.Event]:
-    """Return what is sent to the backend server for a call that has this long left (s)."""
+    """Return the request to the backend server, for a call that expires in `time_left` seconds."""
     head = heads.decode_request(call.head)
-    named = [
+    call_headers = [
         (dialect.call_id, call.call_id.encode()),
-        (dialect.deadline_ms, str(max(1, round(left * 1000))).encode()),
+        (dialect.deadline_ms, str(max(1, round(time_left * 1000))).encode()),
         (dialect.retry_budget, str(call.retry_budget).encode()),
         (dialect.expected_instance, instance.encode()),
     ]
-    headers = [*head.headers, *((name, value) for name, value in named if name and value)]
+    headers = [*head.headers, *((name, value) for name, value in call_headers if name and value)]
     if header(headers, b"content-length") is None and (call.body or not call.end):
         headers.append((b"transfer-encoding", b"chunked"))
     events: list[h11.Event] = [h11.Request(method=head.method, target=head.target, headers=headers)]
@@ -51,12 +51,14 @@
 
 async def next_head(
     connection: HttpConnection, dialect: Dialect, call_id: str, sent: list[h11.Event]
-) -> Head:
-    """Return the head of the answer to a request, past any that belongs to another.
+) -> ReceivedHead:
+    """Wait for the head of the answer to a request, skipping answers to other requests.
 
-    Raise ConnectionLost where the server breaks off, or where what was sent can't be told again.
+    `sent` holds the complete request, or is empty if it was streamed. Raise ConnectionLost if the
+    server closes the connection, or after skipping an answer to a streamed request, because the
+    state of the HTTP parser can't be restored without the complete request.
     """
-    foreign = 0
+    skipped = 0
     while True:
         event = await connection.next_event()
         if isinstance(event, h11.InformationalResponse):
@@ -66,9 +68,12 @@
         if is_answer_to(
             dialect, AnswerHead(event.status_code, plain(event.headers)), call_id.encode()
         ):
-            return Head(event, foreign)
-        foreign += 1
-        log.warning("answer to another request", extra={"call_id": call_id})
+            return ReceivedHead(event, skipped)
+        skipped += 1
+        log.warning(
+            "backend server sent an answer to another request; skipping it",
+            extra={"call_id": call_id},
+        )
         await _skip_body(connection)
         if not sent:
             raise ConnectionLost
@@ -84,19 +89,19 @@
             raise ConnectionLost
 
 
-def judge(dialect: Dialect, head: h11.Response, call_id: str) -> Failure | None:
-    """Return a failure where an answer is none, or says that the request did not run."""
+def failure_of(dialect: Dialect, head: h11.Response, call_id: str) -> Failure | None:
+    """Return a failure if an answer is invalid or states that the request did not run."""
     answer = AnswerHead(head.status_code, plain(head.headers))
     if says_not_run(dialect, answer):
         detail = f"status {head.status_code}"
         failure = not_run(Reason.BACKEND_REFUSED, detail, RETRY_AFTER_REFUSED_MS)
         return failure._replace(reached_server=True)
-    why = invalid_reason(dialect, answer, call_id.encode())
-    return may_have_run(Reason.BACKEND_BROKE, why) if why else None
+    problem = invalid_reason(dialect, answer, call_id.encode())
+    return may_have_run(Reason.BACKEND_BROKE, problem) if problem else None
 
 
-def take_arrived(connection: HttpConnection) -> tuple[bytes, bool]:
-    """Return what has arrived of a body, and whether that is its end; raise ConnectionLost."""
+def read_available(connection: HttpConnection) -> tuple[bytes, bool]:
+    """Return the received part of a body and whether it is complete; raise ConnectionLost."""
     chunks: list[bytes] = []
     while True:
         event = connection.poll()
@@ -110,8 +115,8 @@
             raise ConnectionLost
 
 
-async def next_part(connection: HttpConnection) -> tuple[bytes, bool]:
-    """Return the next part of a body, and whether it is the end; raise ConnectionLost."""
+async def read_part(connection: HttpConnection) -> tuple[bytes, bool]:
+    """Wait for the next part of a body; return it and whether the body is complete."""
     event = await connection.next_event()
     if isinstance(event, h11.Data):
         return bytes(event.data), False
--- a/hornbeamgw/daemon/server_exchange.py
+++ b/hornbeamgw/daemon/server_exchange.py
@@ -1,4 +1,4 @@
-"""Server exchange: carries an admitted request to the backend server, and its answer back."""
+"""Server exchange: forward an admitted request to the backend server, and return its answer."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from hornbeamgw.core.verdict import Failure, Reason, may_have_run, not_run
 from hornbeamgw.daemon import frames, heads, server_answer
 from hornbeamgw.daemon.backend_pool import BackendPool, PoolFull
-from hornbeamgw.daemon.end_watch import EndWatch
+from hornbeamgw.daemon.end_watch import CrashDetector
 from hornbeamgw.daemon.flow import WINDOW_BYTES, Pacer
 from hornbeamgw.daemon.gate_attempt import GateAttempt, pump_body
 from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, end_to_end, header
@@ -29,14 +29,14 @@
 log = logging.getLogger(__name__)
 
 RETRY_AFTER_UNREACHABLE_MS = 20
-MAX_WAIT_MS = 60_000
-# An answer that has begun is carried to its end, also past the deadline; one that then stalls is
-# cut off. The users' largest, 1.7 MB, take half a second over their narrowest links.
-ANSWER_MAX_S = 10.0
+MAX_REPORTED_WAIT_MS = 60_000
+# An answer that has started is sent completely, even if the deadline passes. It is aborted if it is
+# still incomplete this long after the deadline.
+ANSWER_GRACE_S = 10.0
 
 
 class ServerExchange:
-    """Own the connections to the backend server, and what they tell of it."""
+    """The connections to the backend server, and the state that is derived from their failures."""
 
     def __init__(
         self,
@@ -45,11 +45,16 @@
         pacer: Pacer,
         counts: Counter[str],
         on_stalled: Callable[[GateAttempt], None],
-        on_end: Callable[[Sequence[int]], None],
+        on_crash: Callable[[Sequence[int]], None],
     ) -> None:
-        """Take the admission state to report, how servers speak, and the pace of the link."""
+        """Create an exchange without a backend server.
+
+        Answers report the load in `state`. `on_stalled` is called if another daemon does not accept
+        an answer in time, `on_crash` with the fingerprints of the requests that were running when
+        the backend server crashed.
+        """
         self.pool = BackendPool()
-        self.end_watch = EndWatch(self.pool, on_end)
+        self.crash_detector = CrashDetector(self.pool, on_crash)
         self.breaker = BreakerState()
         self.instance = ""
         self.is_leaving = False
@@ -62,13 +67,13 @@
         self._transfers = TransferState()
 
     def forget_run(self) -> None:
-        """Drop the connections to a run of the server, and what they told of it."""
+        """Discard the connections to the previous server process, and the circuit breaker state."""
         self.pool.close_idle()
         self.breaker = BreakerState()
-        self.end_watch.note_sound()
+        self.crash_detector.note_sound()
 
     def transfer_time(self, link: Link, route: str) -> float:
-        """Return how long (s) an answer of a route is expected to take to the other daemon."""
+        """Return the expected transfer time of a route's answer to the peer in seconds."""
         if link.peer == link.hello:
             return 0.0
         return transfers.expected_time(
@@ -76,7 +81,7 @@
         )
 
     def may_send(self, link: Link, route: str, stop: stopping.Plan) -> bool:
-        """Return whether an answer of a route would leave before this daemon ends."""
+        """Return whether the answer of a route can be sent before this daemon stops."""
         if link.peer == link.hello:
             return True
         pending = self._pacer.pending + self._pacer.pending_for_callers
@@ -84,19 +89,22 @@
         return stopping.may_send(stop, transfer, asyncio.get_running_loop().time())
 
     def load(self) -> tuple[int, int]:
-        """Return the free slots, and how long (ms) a newcomer would wait."""
+        """Return the number of free slots and the expected wait of a new request (ms)."""
         now = asyncio.get_running_loop().time()
         wait = admission.expected_wait(self._state, now)
-        return admission.free_slots(self._state), min(MAX_WAIT_MS, round(wait * 1000))
+        return admission.free_slots(self._state), min(MAX_REPORTED_WAIT_MS, round(wait * 1000))
 
     async def run(self, attempt: GateAttempt) -> Failure | None:
-        """Return None once the answer is whole or left to be sent, or why there is none."""
+        """Forward a request; return None if it was answered, otherwise the failure.
+
+        The end of the answer may still be unsent on return.
+        """
         call = attempt.call
         try:
             connection = await self.pool.acquire(call.idempotent)
         except (OSError, TimeoutError) as error:
             if not isinstance(error, PoolFull):
-                self._note_broken(attempt)
+                self._record_loss(attempt)
             detail = str(error) or type(error).__name__
             return not_run(Reason.BACKEND_UNREACHABLE, detail, RETRY_AFTER_UNREACHABLE_MS)
         pump: asyncio.Task[None] | None = None
@@ -107,10 +115,10 @@
                 pump = asyncio.create_task(pump_body(attempt, connection))
             return await self._relay_reply(attempt, connection, sent)
         except (ConnectionLost, h11.ProtocolError, msgspec.MsgspecError) as error:
-            self.end_watch.note_lost(call.fingerprint)
-            # A kept connection may have been dropped by a server that lives.
+            self.crash_detector.record_lost(call.fingerprint)
+            # A running server may close reused connections at any time.
             if isinstance(error, ConnectionLost) and self.pool.is_fresh(connection):
-                self._note_broken(attempt)
+                self._record_loss(attempt)
             detail = str(error) or "the backend server closed the connection"
             return may_have_run(Reason.BACKEND_BROKE, detail)
         finally:
@@ -123,12 +131,12 @@
     def _send_request(
         self, connection: HttpConnection, call: frames.Call, deadline: float
     ) -> list[h11.Event]:
-        left = deadline - asyncio.get_running_loop().time()
-        events = server_answer.request_events(call, self._dialect, self.instance, left)
+        time_left = deadline - asyncio.get_running_loop().time()
+        events = server_answer.request_events(call, self._dialect, self.instance, time_left)
         connection.send(*events)
         return events if call.end else []
 
-    def _note_broken(self, attempt: GateAttempt) -> None:
+    def _record_loss(self, attempt: GateAttempt) -> None:
         now = asyncio.get_running_loop().time()
         request = self._state.running_by_attempt.get(attempt.id)
         if request is None:
@@ -139,8 +147,10 @@
         if breaker.note_early_loss(self.breaker, now):
             self._counts["breaker_opened"] += 1
             until_ms = round((self.breaker.open_until - now) * 1000)
-            told = {"call_id": attempt.call.call_id, "open_ms": until_ms}
-            log.warning("backend server breaks off what it is sent", extra=told)
+            fields = {"call_id": attempt.call.call_id, "open_ms": until_ms}
+            log.warning(
+                "backend server closes connections early; circuit breaker opened", extra=fields
+            )
 
     def _held_ms(self, attempt: GateAttempt) -> int:
         now = asyncio.get_running_loop().time()
@@ -150,37 +160,37 @@
         self, attempt: GateAttempt, connection: HttpConnection, sent: list[h11.Event]
     ) -> Failure | None:
         call_id = attempt.call.call_id
-        event, foreign = await server_answer.next_head(connection, self._dialect, call_id, sent)
+        event, skipped = await server_answer.next_head(connection, self._dialect, call_id, sent)
         breaker.note_sound(self.breaker)
-        self.end_watch.note_sound()
-        self._counts["foreign_answers"] += foreign
+        self.crash_detector.note_sound()
+        self._counts["foreign_answers"] += skipped
         self.pool.note_keep_alive(connection, header(event.headers, b"keep-alive"))
-        failure = server_answer.judge(self._dialect, event, call_id)
-        is_other = event.status_code == self._dialect.other_instance_status
-        if failure is not None and is_other and self.instance:
+        failure = server_answer.failure_of(self._dialect, event, call_id)
+        is_replaced = event.status_code == self._dialect.other_instance_status
+        if failure is not None and is_replaced and self.instance:
             self.on_replaced(self.instance)
-        body, end = server_answer.take_arrived(connection)
+        body, end = server_answer.read_available(connection)
         if failure is not None:
             return failure
         attempt.status = event.status_code
         attempt.answered_at = asyncio.get_running_loop().time()
         size = self._pacer.part_bytes
         first, rest = body[:size], body[size:]
-        is_whole = end and not rest
+        is_complete = end and not rest
         reply = frames.Reply(
             attempt.call.attempt,
             event.status_code,
             heads.encode_headers(end_to_end(event.headers)),
             first,
-            is_whole,
+            is_complete,
             *self.load(),
             self._held_ms(attempt),
         )
         attempt.link.send(reply)
-        if is_whole:
+        if is_complete:
             transfers.note_size(self._transfers, attempt.call.route, len(body))
             return None
-        limit = attempt.deadline + ANSWER_MAX_S
+        limit = attempt.deadline + ANSWER_GRACE_S
         if attempt.limit is not None:
             attempt.limit.reschedule(limit)
         outgoing = self._open_outgoing(attempt, limit)
@@ -191,7 +201,7 @@
         outgoing.put(rest, end)
         size = len(first) + len(rest)
         while not end:
-            body, end = await server_answer.next_part(connection)
+            body, end = await server_answer.read_part(connection)
             outgoing.put(body, end)
             size += len(body)
             await outgoing.drain()
