--- a/hornbeamgw/daemon/attempts.py
+++ b/hornbeamgw/daemon/attempts.py
@@ -15,7 +15,7 @@
 from hornbeamgw.daemon.flow import Mailbox, Window
 from hornbeamgw.daemon.link import DOUBTED_AFTER_S, Link, LinkLost, dial, exchange
 from hornbeamgw.daemon.outgoing import BUFFER_BYTES
-from hornbeamgw.daemon.outlooks import Outlooks
+from hornbeamgw.daemon.outlooks import OutlookQueries
 
 log = logging.getLogger(__name__)
 
@@ -93,7 +93,7 @@
         """Take one's own hello, what to call for a fault, and where to count bytes that cross."""
         self._crossed = Counter() if crossed is None else crossed
         self.counts: Counter[str] = Counter()
-        self.outlooks = Outlooks()
+        self.outlooks = OutlookQueries()
         self._hello = hello
         self._on_fault = on_fault
         self._links_by_address: dict[str, Link] = {}
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -197,7 +197,7 @@
         traits, pacer = self._servers.traits_of(call), self._pacer
         pending = pacer.pending + pacer.pending_for_callers
         here = transfers.transfer_time(traits.size, pending, pacer.rate)
-        rate = pacing.usable_rate(self._servers.slowest_link(call, view))
+        rate = pacing.usable_rate(self._servers.min_bandwidth(call, view))
         transfer = max(here, transfers.transfer_time(traits.size, 0, rate))
         may_begin = stopping.may_begin(self._stop, call.deadline, traits.service + transfer, now)
         if may_begin and stopping.may_send(self._stop, transfer, now):
@@ -312,9 +312,9 @@
         is_bound_by_route = call.arrivals + 1 >= call.route.attempts or call.arrivals >= call.budget
         if is_bound_by_route or call.deadline - now < call.aim * LEAST_PART_TO_GO_ELSEWHERE:
             return False
-        has_other = self._servers.has_other(call, self._view(), now)
+        has_untried = self._servers.has_untried(call, self._view(), now)
         priority = call.route.priority
-        return has_other and retry_budget.allows_retry(self._budget, call.service, now, priority)
+        return has_untried and retry_budget.allows_retry(self._budget, call.service, now, priority)
 
     def _unplaced(self, call: Call) -> Failure:
         if not call.retry_after_ms:
--- a/hornbeamgw/daemon/outlooks.py
+++ b/hornbeamgw/daemon/outlooks.py
@@ -1,4 +1,4 @@
-"""Outlooks: asks several gates at once what a request could expect there."""
+"""Outlook queries: ask several daemons whether their servers would accept a request, and when."""
 
 from __future__ import annotations
 
@@ -11,88 +11,96 @@
 from hornbeamgw.daemon import codec, frames
 from hornbeamgw.daemon.link import Link
 
-# A round trip between data centres takes 3 ms on the users' sheets, and a daemon on 0.43 of a
-# core takes 1 to 2 ms to answer; whoever is later than this has not much to offer.
-ALL_WITHIN_S = 0.008
-# Where nobody has answered by then, the first answer is waited for this long.
-FIRST_WITHIN_S = 0.03
-# The speeds of a service's servers differ three to one; this is a bit under their middle.
-NOT_SLOW = 1.1
+# Covers a round trip between data centres and the answer of a busy daemon. Servers of daemons that
+# are slower than this are not worth waiting for.
+QUERY_TIMEOUT_S = 0.008
+# If no daemon has answered by then, additional time to wait for the first answer.
+FIRST_ANSWER_TIMEOUT_S = 0.03
+# Slowness of a server, relative to the average of its service, up to which it is chosen at once
+# without waiting for further answers.
+ACCEPTABLE_SLOWNESS_FACTOR = 1.1
 
 
-class Told(NamedTuple):
-    """Hold who would take a request, who would not, and the soonest time to come back (ms)."""
+class QueryResult(NamedTuple):
+    """Hold the servers that would accept a request, and those that would refuse it.
+
+    `retry_after_ms` is the shortest delay after which a refusing server expects to accept it, or 0.
+    """
 
     takers: Sequence[Candidate]
     refusers: Sequence[Candidate]
     retry_after_ms: int
 
 
-class _Inquiry:
+class _Query:
     def __init__(self, candidates_by_link: Mapping[Link, Candidate]) -> None:
         self.candidates_by_link = dict(candidates_by_link)
         self.takers: list[Candidate] = []
         self.refusers: list[Candidate] = []
         self.retry_after_ms = 0
-        self.first_decides = False
-        self.decided: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.first_completes = False
+        self.completed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    def take(self, candidate: Candidate, outlook: frames.Outlook) -> None:
-        """Take an answer."""
+    def add(self, candidate: Candidate, outlook: frames.Outlook) -> None:
+        """Record an answer; complete the query if no better one is expected."""
         if outlook.takes:
             self.takers.append(candidate)
         else:
             self.refusers.append(candidate)
-            known, told = self.retry_after_ms, outlook.retry_after_ms
-            self.retry_after_ms = min(known or told, told)
-        is_enough = self.first_decides or is_as_good_as_any(candidate, outlook)
-        if (is_enough or not self.candidates_by_link) and not self.decided.done():
-            self.decided.set_result(None)
+            known, new = self.retry_after_ms, outlook.retry_after_ms
+            self.retry_after_ms = min(known or new, new)
+        is_enough = self.first_completes or is_good_enough(candidate, outlook)
+        if (is_enough or not self.candidates_by_link) and not self.completed.done():
+            self.completed.set_result(None)
 
 
-def is_as_good_as_any(candidate: Candidate, outlook: frames.Outlook) -> bool:
-    """Return whether a server has a free slot and is not slow."""
-    return outlook.takes and not outlook.wait_ms and candidate.load.slowness <= NOT_SLOW
+def is_good_enough(candidate: Candidate, outlook: frames.Outlook) -> bool:
+    """Return whether a server accepts the request without a wait and is not slow."""
+    return (
+        outlook.takes
+        and not outlook.wait_ms
+        and candidate.load.slowness <= ACCEPTABLE_SLOWNESS_FACTOR
+    )
 
 
-class Outlooks:
-    """Own the inquiries under way."""
+class OutlookQueries:
+    """The queries that have been sent and are not complete."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an instance without queries."""
         self._next_number = 0
-        self._inquiries_by_number: dict[int, _Inquiry] = {}
+        self._queries_by_number: dict[int, _Query] = {}
 
     async def ask(
         self, candidates_by_link: Mapping[Link, Candidate], request: frames.OutlookRequest
-    ) -> Told:
-        """Return what the gates on these links say in time."""
-        inquiry = _Inquiry(candidates_by_link)
+    ) -> QueryResult:
+        """Query the servers behind these links; return the answers received before the timeout."""
+        query = _Query(candidates_by_link)
         self._next_number = self._next_number % 0xFFFFFFFF + 1
         number = self._next_number
-        self._inquiries_by_number[number] = inquiry
+        self._queries_by_number[number] = query
         payloads_by_server: dict[int, bytes] = {}
         for link, candidate in candidates_by_link.items():
             server = candidate.member.server
             if server not in payloads_by_server:
-                asked = request._replace(number=number, server=server)
-                payloads_by_server[server] = codec.encode_frame(asked)
+                numbered = request._replace(number=number, server=server)
+                payloads_by_server[server] = codec.encode_frame(numbered)
             link.send_encoded(payloads_by_server[server])
         try:
-            await asyncio.wait([inquiry.decided], timeout=ALL_WITHIN_S)
-            if not inquiry.takers and not inquiry.refusers:
-                inquiry.first_decides = True
-                await asyncio.wait([inquiry.decided], timeout=FIRST_WITHIN_S)
+            await asyncio.wait([query.completed], timeout=QUERY_TIMEOUT_S)
+            if not query.takers and not query.refusers:
+                query.first_completes = True
+                await asyncio.wait([query.completed], timeout=FIRST_ANSWER_TIMEOUT_S)
         finally:
-            del self._inquiries_by_number[number]
-        return Told(inquiry.takers, inquiry.refusers, inquiry.retry_after_ms)
+            del self._queries_by_number[number]
+        return QueryResult(query.takers, query.refusers, query.retry_after_ms)
 
     def on_outlook(self, link: Link, outlook: frames.Outlook, now: float) -> None:
-        """Take an answer; a late one is dropped."""
-        inquiry = self._inquiries_by_number.get(outlook.number)
-        candidate = inquiry.candidates_by_link.pop(link, None) if inquiry is not None else None
-        if inquiry is None or candidate is None:
+        """Process an answer; ignore it if its query is complete."""
+        query = self._queries_by_number.get(outlook.number)
+        candidate = query.candidates_by_link.pop(link, None) if query is not None else None
+        if query is None or candidate is None:
             return
         wait = outlook.wait_ms / 1000
         placement.note_report(candidate.load, outlook.free_slots, wait, now)
-        inquiry.take(candidate, outlook)
+        query.add(candidate, outlook)
--- a/hornbeamgw/daemon/servers.py
+++ b/hornbeamgw/daemon/servers.py
@@ -1,4 +1,4 @@
-"""Servers: what this daemon saw of each backend server, and where it sends a call."""
+"""Servers: track the load of each backend server and choose a server for each call."""
 
 from __future__ import annotations
 
@@ -16,23 +16,25 @@
 from hornbeamgw.daemon import frames
 from hornbeamgw.daemon.attempts import Links
 from hornbeamgw.daemon.call import Call, View, objective_left_ms, sooner
-from hornbeamgw.daemon.outlooks import Told, is_as_good_as_any
+from hornbeamgw.daemon.outlooks import QueryResult, is_good_enough
 
 OwnOutlook = Callable[[frames.OutlookRequest], frames.Outlook]
 
-NOTHING_TOLD = Told((), (), 0)
-# As many as a call may be refused by (calls.MAX_REFUSALS); each takes a round trip.
-ASKED_ONE_BY_ONE = 3
-# Versions that are new wait a second for word of an order; how often (s) that is looked at.
-NEWCOMERS_AGAIN_S = 0.2
-# A request that waits for servers to be replaced asks again so often (s), and keeps this part of
-# the time that it had left.
-WAIT_STEP_S = 0.02
-WAIT_KEEPS_PART = 0.3
+NO_ANSWERS = QueryResult((), (), 0)
+# Servers that are queried one after another before a large body is sent. Each query takes a round
+# trip. Equal to the number of refusals after which a call fails (`calls.MAX_REFUSALS`).
+MAX_SEQUENTIAL_QUERIES = 3
+# Interval for checking whether servers with a new version may be used: when the rollout of the
+# version is known, or after a second.
+NEW_VERSION_RECHECK_S = 0.2
+# During a rollout a request may have to wait until stopping servers have been replaced. It checks
+# this at an interval, and stops waiting when a ratio of its remaining time is left.
+REPLACEMENT_POLL_S = 0.02
+TIME_RESERVED_RATIO = 0.3
 
 
 class Servers:
-    """Own the loads of backend servers and the traits of routes."""
+    """The load of each backend server and the traits of each route, used to choose servers."""
 
     def __init__(
         self,
@@ -40,76 +42,78 @@
         choose: Chooser,
         rng: random.Random,
         own_outlook: OwnOutlook | None = None,
-        exposed: ExposureState | None = None,
+        exposure_state: ExposureState | None = None,
     ) -> None:
-        """Take the links to ask on, the way to choose by what was heard, and the gate here.
+        """Create an instance without load reports.
 
-        With it goes what versions on trial may get; without, no order is ever heard of.
+        `links` are used to query other daemons, `own_outlook` to query this one. `choose` selects a
+        server by the recorded load reports. `exposure_state` limits the requests that are sent to
+        versions under rollout; by default there are no rollouts.
         """
-        self._exposed = exposed or ExposureState(ExposureBound(0.0, 0.0))
+        self._exposure_state = exposure_state or ExposureState(ExposureBound(0.0, 0.0))
         self._own_outlook = own_outlook
         self._links = links
         self._choose = choose
         self._rng = rng
         self._placement = PlacementState()
         self._loads_by_key: dict[str, tuple[int, Load]] = {}
-        self._found_at = (-1, -1)
-        self._found_until = math.inf
+        self._cache_key = (-1, -1)
+        self._cached_until = math.inf
         self._serving_by_service: dict[str, list[Member]] = {}
         self._candidates_by_arm: dict[tuple[str, Arm], list[Candidate]] = {}
 
     def traits_of(self, call: Call) -> RouteTraits:
-        """Return what answers of a call's route are like."""
+        """Return the expected service time and answer size of a call's route."""
         return placement.traits_of(self._placement, call.route.name, call.aim)
 
-    def slowest_link(self, call: Call, view: View) -> float:
-        """Return the narrowest bandwidth (bytes/s) of a server's VM, 0 where none is known."""
+    def min_bandwidth(self, call: Call, view: View) -> float:
+        """Return the smallest known bandwidth of the servers' VMs in bytes/s, or 0."""
         candidates = self._candidates(view, call.service, asyncio.get_running_loop().time())
         known = (c.member.bandwidth for c in candidates if c.member.bandwidth)
         return min(known, default=0)
 
-    def has_other(self, call: Call, view: View, now: float) -> bool:
-        """Return whether there is a server that a call has not been sent to."""
+    def has_untried(self, call: Call, view: View, now: float) -> bool:
+        """Return whether there is a server that the call has not been sent to."""
         candidates = self._candidates(view, call.service, now)
         return any(c.key not in call.tried for c in candidates)
 
     def _candidates(
         self, view: View, service: str, now: float, arm: Arm = Arm.BEFORE
     ) -> list[Candidate]:
-        """Return the servers that a call may go to, found anew only where something has changed."""
-        found_at = view.generation, self._exposed.generation
-        if found_at != self._found_at or now >= self._found_until:
-            self._found_at, self._found_until = found_at, math.inf
+        """Return the servers that a call may be sent to; they are cached until a change."""
+        cache_key = view.generation, self._exposure_state.generation
+        if cache_key != self._cache_key or now >= self._cached_until:
+            self._cache_key, self._cached_until = cache_key, math.inf
             self._serving_by_service.clear()
             self._candidates_by_arm.clear()
         candidates = self._candidates_by_arm.get((service, arm))
         if candidates is None:
-            found = self._of_arm(view, service, now, arm)
-            known = subsetting.server_subset(view.me, found)
-            candidates = [candidate_of(member, self._load(member, now)) for member in known]
+            found = self._arm_members(view, service, now, arm)
+            subset = subsetting.server_subset(view.me, found)
+            candidates = [candidate_of(member, self._load(member, now)) for member in subset]
             if arm is not Arm.TURN:
                 self._candidates_by_arm[service, arm] = candidates
         return candidates
 
-    def _of_arm(self, view: View, service: str, now: float, arm: Arm) -> list[Member]:
+    def _arm_members(self, view: View, service: str, now: float, arm: Arm) -> list[Member]:
         serving = self._serving_by_service.get(service)
         if serving is None:
             serving = balancing.serving(view.members, service)
             self._serving_by_service[service] = serving
-            exposure.note_seen(self._exposed, service, {m.software for m in serving}, now)
+            exposure.note_seen(self._exposure_state, service, {m.software for m in serving}, now)
         if arm is Arm.BEFORE:
-            found = exposure.servers_before(self._exposed, service, serving, now)
+            found = exposure.servers_before(self._exposure_state, service, serving, now)
             if len(found) < len(serving):
-                self._found_until = now + NEWCOMERS_AGAIN_S
+                self._cached_until = now + NEW_VERSION_RECHECK_S
             return found
-        found = exposure.new_servers(self._exposed, service, serving)
+        found = exposure.new_servers(self._exposure_state, service, serving)
         if arm is Arm.TURN:
-            current = self._exposed.current_by_service[service]
+            current = self._exposure_state.current_by_service[service]
             return exposure.on_turn(found, exposure.turn_of(current), time.time())
         return found
 
     def _load(self, member: Member, now: float) -> Load:
-        """Return what was seen of the server there; another run of it starts anew."""
+        """Return the load of a server; the load is reset when its process has been restarted."""
         key = server_key(member)
         started_ms, load = self._loads_by_key.get(key, (-1, None))
         if load is None or started_ms != member.server_started_ms:
@@ -125,39 +129,39 @@
         return Choice(view.me, candidates, call.tried, traits, call.aim, now, call.objective)
 
     def _arm_of(self, call: Call, has_waited: bool = False) -> Arm:
-        if not self._exposed.current_by_service:
+        if not self._exposure_state.current_by_service:
             return Arm.BEFORE
         length = self.traits_of(call).service
         idempotent = call.route.idempotent
         asked = exposure.Asked(call.service, length, not call.placed, idempotent, has_waited)
-        return exposure.arm_of(self._exposed, asked, time.time(), self._rng)
+        return exposure.arm_of(self._exposure_state, asked, time.time(), self._rng)
 
-    async def _awaited_arm(self, call: Call) -> Arm:
-        """Return among which servers one is chosen, waiting while there should be none."""
+    async def _wait_for_arm(self, call: Call) -> Arm:
+        """Return the rollout arm for a call; wait while no server may receive it."""
         loop = asyncio.get_running_loop()
         arm = self._arm_of(call)
         if arm is not Arm.WAIT:
             return arm
-        since = loop.time()
-        until = call.deadline - WAIT_KEEPS_PART * (call.deadline - since)
+        started_at = loop.time()
+        until = call.deadline - TIME_RESERVED_RATIO * (call.deadline - started_at)
         while arm is Arm.WAIT and loop.time() < until and not (call.caller_gone or call.expired):
-            await asyncio.sleep(WAIT_STEP_S)
+            await asyncio.sleep(REPLACEMENT_POLL_S)
             arm = self._arm_of(call, has_waited=True)
-        call.waited += loop.time() - since
+        call.waited += loop.time() - started_at
         return Arm.BEFORE if arm is Arm.WAIT else arm
 
     async def choose(self, call: Call, view: View) -> Candidate | None:
-        """Return where to send a call: by what was heard of all servers, or by asking some."""
-        arm = await self._awaited_arm(call)
+        """Choose a server for a call, by load reports or by querying a sample of the servers."""
+        arm = await self._wait_for_arm(call)
         choice = self._choice(call, view, asyncio.get_running_loop().time(), arm)
-        chosen = await self._choose_by(choice, call)
+        chosen = await self._choose_for(choice, call)
         call.why_far = None if chosen is None else crossing.why_far(choice, chosen)
         return chosen
 
-    async def _choose_by(self, choice: Choice, call: Call) -> Candidate | None:
+    async def _choose_for(self, choice: Choice, call: Call) -> Candidate | None:
         if not sampling.should_ask(choice):
             return await self._choose_by_reports(call, choice)
-        own = self._ask_own(call, choice)
+        own = self._query_own(call, choice)
         if own is not None:
             return own
         found = self._best_taker(call, choice)
@@ -165,11 +169,11 @@
             is_first = call.rounds_left == sampling.MAX_ROUNDS
             is_near = is_first or not crossing.is_remote_better(choice, found)
             call.rounds_left -= 1
-            asked = sampling.sample(choice, is_near, self._rng)
-            told = await self._ask(call, [c for c in asked if c not in call.takers])
-            call.takers += told.takers
-            call.tried += [c.key for c in told.refusers]
-            call.retry_after_ms = sooner(call.retry_after_ms, told.retry_after_ms)
+            sampled = sampling.sample(choice, is_near, self._rng)
+            result = await self._query(call, [c for c in sampled if c not in call.takers])
+            call.takers += result.takers
+            call.tried += [c.key for c in result.refusers]
+            call.retry_after_ms = sooner(call.retry_after_ms, result.retry_after_ms)
             choice = choice._replace(now=asyncio.get_running_loop().time())
             found = self._best_taker(call, choice)
         if found is None and not call.retry_after_ms:
@@ -177,54 +181,58 @@
         return found
 
     async def _choose_by_reports(self, call: Call, choice: Choice) -> Candidate | None:
-        """Return the server chosen by what was heard before; a large body is announced first."""
-        for _ in range(ASKED_ONE_BY_ONE):
+        """Choose a server by load reports; query a remote one before sending it a large body."""
+        for _ in range(MAX_SEQUENTIAL_QUERIES):
             chosen = self._choose(choice, self._rng)
             if chosen is None:
                 return None
             if not crossing.should_ask_first(choice.me, chosen, len(call.body)):
                 return chosen
-            told = await self._ask(call, [chosen])
-            if not told.refusers:
+            result = await self._query(call, [chosen])
+            if not result.refusers:
                 return chosen
             call.tried.append(chosen.key)
-            call.retry_after_ms = sooner(call.retry_after_ms, told.retry_after_ms)
+            call.retry_after_ms = sooner(call.retry_after_ms, result.retry_after_ms)
             choice = choice._replace(now=asyncio.get_running_loop().time())
         return None
 
     def _best_taker(self, call: Call, choice: Choice) -> Candidate | None:
         takers = [c for c in call.takers if c.key not in call.tried]
-        if self._exposed.current_by_service:
+        if self._exposure_state.current_by_service:
             usable = {c.key for c in choice.candidates}
             takers = [c for c in takers if c.key in usable]
         return sampling.best(choice, takers)
 
-    def _ask_own(self, call: Call, choice: Choice) -> Candidate | None:
-        """Return the server beside this daemon where it has a free slot and isn't slow.
+    def _query_own(self, call: Call, choice: Choice) -> Candidate | None:
+        """Return this daemon's own server if it is good enough, without using the network.
 
-        Asking the others takes a frame and an answer each, and none could begin sooner.
+        No other server could start the request sooner, so the others need not be queried.
         """
-        beside = (c for c in choice.candidates if c.member.address == choice.me.address)
-        own = next((c for c in beside if c.key not in call.tried), None)
+        local = (c for c in choice.candidates if c.member.address == choice.me.address)
+        own = next((c for c in local if c.key not in call.tried), None)
         if own is None or self._own_outlook is None:
             return None
-        outlook = self._own_outlook(_question(call, choice.now)._replace(server=own.member.server))
+        outlook = self._own_outlook(
+            _outlook_request(call, choice.now)._replace(server=own.member.server)
+        )
         placement.note_report(own.load, outlook.free_slots, outlook.wait_ms / 1000, choice.now)
-        return own if is_as_good_as_any(own, outlook) else None
-
-    async def _ask(self, call: Call, candidates: Sequence[Candidate]) -> Told:
-        opened = [(c, self._links.open_link(c.member.address)) for c in candidates]
-        # Of two servers beside one daemon the first is asked, since answers are told by their link.
-        linked = {link: candidate for candidate, link in reversed(opened) if link is not None}
-        if not linked:
-            return NOTHING_TOLD
-        request = _question(call, asyncio.get_running_loop().time())
-        self._links.counts["outlooks_asked"] += len(linked)
-        call.asked += len(linked)
-        return await self._links.outlooks.ask(linked, request)
-
-
-def _question(call: Call, now: float) -> frames.OutlookRequest:
+        return own if is_good_enough(own, outlook) else None
+
+    async def _query(self, call: Call, candidates: Sequence[Candidate]) -> QueryResult:
+        links = [(c, self._links.open_link(c.member.address)) for c in candidates]
+        # Answers are matched by link, so only the first of several servers of a daemon is queried.
+        candidates_by_link = {
+            link: candidate for candidate, link in reversed(links) if link is not None
+        }
+        if not candidates_by_link:
+            return NO_ANSWERS
+        request = _outlook_request(call, asyncio.get_running_loop().time())
+        self._links.counts["outlooks_asked"] += len(candidates_by_link)
+        call.asked += len(candidates_by_link)
+        return await self._links.outlooks.ask(candidates_by_link, request)
+
+
+def _outlook_request(call: Call, now: float) -> frames.OutlookRequest:
     return frames.OutlookRequest(
         0,
         call.service,
