--- a/features/steps/findings.py
+++ b/features/steps/findings.py
@@ -198,7 +198,7 @@
         await before.write()
         me = ME._replace(incarnation=ME.incarnation + 1)
         context.anew = Quarantine(me, lambda findings, kept, urgent: published.append(findings))
-        OwnRow(rows, me, context.anew.hear).tell_findings(RowPage([rows.row], 1, 0.0))
+        OwnRow(rows, me, context.anew.receive).tell_findings(RowPage([rows.row], 1, 0.0))
         context.refusals = [context.anew.refusal(number_for("cause"))]
         context.published = published
 
--- a/hornbeamgw/daemon/announcements.py
+++ b/hornbeamgw/daemon/announcements.py
@@ -162,7 +162,7 @@
         health_path = health_path_of(known.service)
         if health_path is None or self._is_heard_at(known.address):
             return
-        if not await self._adoption.is_there(known, health_path):
+        if not await self._adoption.is_unchanged(known, health_path):
             return
         if not self._is_heard_at(known.address):
             now = asyncio.get_running_loop().time()
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -422,7 +422,7 @@
     def _note_reply(self, call: Call, attempt: Attempt, reply: frames.Reply) -> None:
         now = asyncio.get_running_loop().time()
         traits = self._servers.traits_of(call)
-        size = len(call.body) + relay.size_of(reply)
+        size = len(call.body) + relay.answer_size(reply)
         call.status = reply.status
         failed = reply.status >= SERVER_ERROR
         placement.note_outcome(attempt.load, failed, now)
@@ -459,7 +459,7 @@
         self, connection: HttpConnection, call: Call, attempt: Attempt, reply: frames.Reply
     ) -> None:
         try:
-            await relay.answer(connection, call, attempt, reply, self.draining, self._pacer)
+            await relay.send_answer(connection, call, attempt, reply, self.draining, self._pacer)
         except (ConnectionLost, h11.LocalProtocolError) as error:
             self.counts["broken_answers"] += 1
             now = asyncio.get_running_loop().time()
--- a/hornbeamgw/daemon/failures.py
+++ b/hornbeamgw/daemon/failures.py
@@ -1,4 +1,4 @@
-"""Failures: what a caller is told of a call that has no answer."""
+"""Failures: HTTP responses for calls that were not answered by a backend server."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from hornbeamgw.daemon.http1 import Headers, HttpConnection
 from hornbeamgw.daemon.http_server import send_response
 
-# Statuses of a call that did not run; all others promise the same by 503.
+# Statuses that differ from the default for calls that did not run. Each of them, as the default,
+# guarantees that the call was not executed.
 _STATUS_BY_REASON = {Reason.NO_ROUTE: 404, Reason.BAD_REQUEST: 400}
 _NOT_RUN_STATUS = 503
 _DEADLINE_STATUS = 504
@@ -19,7 +20,7 @@
 
 
 def status_of(failure: Failure) -> int:
-    """Return the status code for a failure; only one that did not run may promise that."""
+    """Return the HTTP status of a failure, which states whether the call may have run."""
     if failure.verdict is Verdict.NOT_RUN:
         return _STATUS_BY_REASON.get(failure.reason, _NOT_RUN_STATUS)
     if failure.reason is Reason.DEADLINE:
@@ -36,7 +37,7 @@
 def send_failure(
     connection: HttpConnection, failure: Failure, call_id: str, dialect: Dialect, close: bool
 ) -> None:
-    """Send a failure with its verdict, reason and time to come back; raise ConnectionLost."""
+    """Send a failure with its verdict, reason and retry delay; raise ConnectionLost."""
     headers: Headers = [
         (b"content-type", b"application/json"),
         (heads.VERDICT, failure.verdict.encode()),
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -282,10 +282,10 @@
 
     def _apart(self, fingerprint: int) -> Failure | None:
         """Refuse a request that ran at several ends beside another such: one is no cause."""
-        must_run_apart = self.quarantine.must_run_apart
-        if not must_run_apart(fingerprint):
+        must_run_isolated = self.quarantine.must_run_isolated
+        if not must_run_isolated(fingerprint):
             return None
-        if not any(must_run_apart(a.call.fingerprint) for a in self._attempts.values()):
+        if not any(must_run_isolated(a.call.fingerprint) for a in self._attempts.values()):
             return None
         return not_run(Reason.NO_SLOT, "runs apart from another", RETRY_AFTER_APART_MS)
 
@@ -406,7 +406,7 @@
         log_end(attempt, failure, now)
         self._tally(attempt, failure, now)
         if failure is None and attempt.status < SERVER_ERROR:
-            self.quarantine.note_answered(attempt.call.fingerprint)
+            self.quarantine.record_answer(attempt.call.fingerprint)
         if failure is not None and failure.reason in (Reason.CALLER_GONE, Reason.DEADLINE):
             self.exchange.crash_detector.record_abandoned(attempt.call.fingerprint)
         has_worked = failure is None or failure.reason is Reason.DEADLINE
@@ -472,7 +472,7 @@
         self.counts["server_ended"] += 1
         ran = [as_text(fingerprint) for fingerprint in fingerprints]
         log.warning("backend server ended", extra={"instance": run.instance, "ran": ran})
-        self.quarantine.note_end(fingerprints)
+        self.quarantine.record_crash(fingerprints)
 
     def _on_stalled(self, attempt: GateAttempt) -> None:
         self.counts["stalled_answers"] += 1
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -93,14 +93,16 @@
         dialect = dialects_by_name[settings.calls_dialect]
         self.control = Control(settings, me, rng)
         self.quarantine = Quarantine(me, self._publish_findings)
-        self.control.on_news.append(self.quarantine.hear)
+        self.control.on_news.append(self.quarantine.receive)
         allowed = ExposureBound(settings.rollouts_share, settings.rollouts_slack)
         self.rollouts = Rollouts(allowed, self._publish_standings)
         self.control.on_news.append(self.rollouts.hear_member)
         source = sources.factories_by_name[settings.source](
             self.control, platform, settings.platform_poll, rng, settings.platform_adapter
         )
-        own_row = None if platform.rows is None else OwnRow(platform.rows, me, self.quarantine.hear)
+        own_row = (
+            None if platform.rows is None else OwnRow(platform.rows, me, self.quarantine.receive)
+        )
         self._own_row = own_row
         if own_row is not None:
             self.control.on_era.append(lambda era: own_row.note_era())
--- a/hornbeamgw/daemon/quarantine.py
+++ b/hornbeamgw/daemon/quarantine.py
@@ -1,4 +1,4 @@
-"""Quarantine: carries findings between this daemon's server, its record and its callers."""
+"""Quarantine: exchange findings about requests that crash servers, and refuse such requests."""
 
 from __future__ import annotations
 
@@ -16,26 +16,28 @@
 
 log = logging.getLogger(__name__)
 
-# Findings are numbered from the start of the daemon on (ms), in the 32 bits that a record has.
-NUMBERS = 1 << 31
+# The first finding is numbered with the daemon's start time in ms, modulo this, so that numbers
+# increase across restarts and fit into the 32-bit field of a member record.
+FINDING_NUMBER_LIMIT = 1 << 31
 
-# What one's record carries, what of it one's row keeps, and whether it can't wait for gossip.
+# Called with all findings of this daemon, those to write to the store, and whether they are urgent,
+# that is, pushed to other daemons instead of waiting for gossip.
 Publish = Callable[[tuple[Finding, ...], tuple[Finding, ...], bool], None]
 
 
 class Quarantine:
-    """Own what is known of requests under which servers end."""
+    """The quarantine state of this daemon, and its exchange with other daemons."""
 
     def __init__(self, me: Member, publish: Publish) -> None:
-        """Take one's own record, and what carries findings in it to the others."""
+        """Use `publish` to put findings into this daemon's member record `me`."""
         self.counts: Counter[str] = Counter()
-        self.state = QuarantineState(me.address, me.incarnation % NUMBERS)
+        self.state = QuarantineState(me.address, me.incarnation % FINDING_NUMBER_LIMIT)
         self._incarnation = me.incarnation
         self._publish = publish
         self._published: tuple[Finding, ...] = ()
 
     def refusal(self, fingerprint: int) -> Failure | None:
-        """Return why a request is not sent to any server, None where it may be."""
+        """Return the failure of a quarantined request, None if the request may run."""
         if not self.state.periods_by_fingerprint:
             return None
         remaining = quarantine.remaining(self.state, fingerprint, asyncio.get_running_loop().time())
@@ -43,66 +45,79 @@
             return None
         self.counts["refused"] += 1
         quarantine.record_refusal(self.state, fingerprint)
-        self._tell()
+        self._publish_findings()
         return not_run(
             Reason.QUARANTINED, "servers end under this request", round(remaining * 1000)
         )
 
-    def must_run_apart(self, fingerprint: int) -> bool:
-        """Return whether a request may run beside no other of which as much is known."""
+    def must_run_isolated(self, fingerprint: int) -> bool:
+        """Return whether a request must not run concurrently with another suspect."""
         return quarantine.must_run_isolated(self.state, fingerprint)
 
-    def note_answered(self, fingerprint: int) -> None:
-        """Take a request that the server here has answered."""
+    def record_answer(self, fingerprint: int) -> None:
+        """Record that the local backend server has answered a request."""
         now = asyncio.get_running_loop().time()
-        self._act(quarantine.record_answer(self.state, fingerprint, now))
+        self._apply(quarantine.record_answer(self.state, fingerprint, now))
 
-    def note_end(self, ran: Sequence[int]) -> None:
-        """Take that the server here ended, and what ran there."""
-        self._act(quarantine.record_crash(self.state, ran, asyncio.get_running_loop().time()))
+    def record_crash(self, ran: Sequence[int]) -> None:
+        """Record a crash of the local backend server and the requests that were running."""
+        self._apply(quarantine.record_crash(self.state, ran, asyncio.get_running_loop().time()))
 
     def forget_run(self) -> None:
-        """Forget what a run of the server here has answered."""
+        """Discard the answered requests when a new server process starts."""
         quarantine.forget_run(self.state)
 
-    def hear(self, member: Member) -> None:
-        """Take the findings in the record of a daemon."""
+    def receive(self, member: Member) -> None:
+        """Process the findings in the member record of a daemon.
+
+        Findings in this daemon's own record are processed only if they are from before a restart.
+        """
         if member.address == self.state.address and member.incarnation >= self._incarnation:
             return
         now = asyncio.get_running_loop().time()
-        self._act(quarantine.receive(self.state, member.address, member.findings, now))
+        self._apply(quarantine.receive(self.state, member.address, member.findings, now))
 
     def expire(self, now: float) -> None:
-        """Forget what is over."""
+        """Remove expired quarantines and findings."""
         for fingerprint in quarantine.expire(self.state, now):
             self.counts["tried_again"] += 1
-            log.info("quarantine over", extra={"fingerprint": as_text(fingerprint)})
-        self._tell()
+            log.info(
+                "quarantine expired; request may run again",
+                extra={"fingerprint": as_text(fingerprint)},
+            )
+        self._publish_findings()
 
-    def _act(self, decided: QuarantineChanges) -> None:
+    def _apply(self, changes: QuarantineChanges) -> None:
         now = asyncio.get_running_loop().time()
-        for fingerprint, told_by in decided.quarantined.items():
+        for fingerprint, reporters in changes.quarantined.items():
             self.counts["quarantined"] += 1
             for_s = round(quarantine.remaining(self.state, fingerprint, now))
-            told = {"fingerprint": as_text(fingerprint), "told_by": told_by, "for_s": for_s}
-            log.warning("request quarantined", extra=told)
-        for fingerprint in decided.cleared:
+            fields = {"fingerprint": as_text(fingerprint), "told_by": reporters, "for_s": for_s}
+            log.warning(
+                "request quarantined after backend server crashes; refusing it", extra=fields
+            )
+        for fingerprint in changes.cleared:
             self.counts["cleared"] += 1
-            log.info("request cleared", extra={"fingerprint": as_text(fingerprint)})
-        self._tell()
-
-    def _tell(self) -> None:
-        """Put one's findings in one's record where they changed."""
+            log.info(
+                "request cleared: a backend server has answered it",
+                extra={"fingerprint": as_text(fingerprint)},
+            )
+        self._publish_findings()
+
+    def _publish_findings(self) -> None:
+        """Publish the findings of this daemon if they have changed."""
         findings = quarantine.findings(self.state)
         if findings == self._published:
             return
         new = set(findings) - set(self._published)
         self._published = findings
-        kept = quarantine.persistent_findings(self.state)
-        self._publish(findings, kept, any(self._is_urgent(finding, kept) for finding in new))
+        persistent = quarantine.persistent_findings(self.state)
+        self._publish(
+            findings, persistent, any(self._is_urgent(finding, persistent) for finding in new)
+        )
 
-    def _is_urgent(self, finding: Finding, kept: Sequence[Finding]) -> bool:
-        """Return whether all must hear at once: of what ended a server here, not the first time."""
+    def _is_urgent(self, finding: Finding, persistent: Sequence[Finding]) -> bool:
+        """Return whether other daemons need a finding at once: a repeated crash or a quarantine."""
         if finding.kind is FindingKind.ENDED:
-            return any(map(self.must_run_apart, finding.fingerprints))
-        return finding in kept
+            return any(map(self.must_run_isolated, finding.fingerprints))
+        return finding in persistent
--- a/hornbeamgw/daemon/relay.py
+++ b/hornbeamgw/daemon/relay.py
@@ -1,4 +1,4 @@
-"""Relay: carries bodies between a caller's connection and an attempt."""
+"""Relay: stream request and answer bodies between a caller's connection and an attempt."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, header, response_of
 from hornbeamgw.daemon.progress import WaitsFor
 
-# Of an answer without a length, as much as the users' larger ones have, so that it goes after most.
-UNKNOWN_LEFT = 500_000
+# Assumed size of an answer without a content length, large enough that the pacer sends most other
+# answers first.
+ASSUMED_ANSWER_BYTES = 500_000
 
 
 async def upload(connection: HttpConnection, call: Call, attempt: Attempt) -> None:
-    """Carry the rest of a request's body, as far as the other side grants it."""
+    """Send the rest of a request's body as the other daemon grants credit."""
     while True:
         await attempt.upload.consume(0)
         call.started_stream = True
@@ -31,7 +32,7 @@
             return
 
 
-async def answer(
+async def send_answer(
     connection: HttpConnection,
     call: Call,
     attempt: Attempt,
@@ -39,7 +40,7 @@
     close: bool,
     pacer: Pacer,
 ) -> None:
-    """Carry an answer to its end; raise ConnectionLost where either side breaks off."""
+    """Send an answer to the caller; raise ConnectionLost if either connection is lost."""
     headers = heads.decode_headers(reply.head)
     headers.append((heads.CALL_ID, call.call_id.encode()))
     if close:
@@ -53,31 +54,32 @@
     call.progress.passed_on = len(reply.body)
     if not reply.end:
         attempt.link.send(frames.Credit(attempt.number, len(reply.body)))
-        left = size_of(reply) - len(reply.body)
-        await _rest(connection, call, attempt, pacer, left or UNKNOWN_LEFT)
+        remaining = answer_size(reply) - len(reply.body)
+        await _send_rest(connection, call, attempt, pacer, remaining or ASSUMED_ANSWER_BYTES)
 
 
-async def _rest(
-    connection: HttpConnection, call: Call, attempt: Attempt, pacer: Pacer, left: int
+async def _send_rest(
+    connection: HttpConnection, call: Call, attempt: Attempt, pacer: Pacer, remaining: int
 ) -> None:
-    """Carry what comes after the start of an answer, of which so many bytes are expected."""
+    """Send the rest of an answer, of which `remaining` bytes are expected."""
     loop, progress = asyncio.get_running_loop(), call.progress
-    pacer.pending_for_callers += left
+    pacer.pending_for_callers += remaining
     try:
         while True:
             progress.wait(WaitsFor.OTHER_DAEMON, loop.time())
             event = await attempt.events.get()
             if isinstance(event, Expired | Ending):
-                # What has begun to arrive is of more use to the caller than an end cut off.
+                # A complete answer after the deadline is more useful to the caller than a truncated
+                # one.
                 continue
             if not isinstance(event, frames.Body):
                 raise ConnectionLost(f"{type(event).__name__} before the end of the answer")
             if event.data:
                 progress.wait(WaitsFor.LINK, loop.time())
-                await pacer.wait_to_send(len(event.data), left, call.urgency)
-                after = max(len(event.data), left - len(event.data))
-                pacer.pending_for_callers += after - left
-                left = after
+                await pacer.wait_to_send(len(event.data), remaining, call.urgency)
+                new_remaining = max(len(event.data), remaining - len(event.data))
+                pacer.pending_for_callers += new_remaining - remaining
+                remaining = new_remaining
                 connection.send(h11.Data(data=event.data))
                 progress.wait(WaitsFor.CALLER, loop.time())
                 await connection.drain()
@@ -87,11 +89,11 @@
                 connection.send(h11.EndOfMessage())
                 return
     finally:
-        pacer.pending_for_callers -= left
+        pacer.pending_for_callers -= remaining
 
 
-def size_of(reply: frames.Reply) -> int:
-    """Return the bytes of an answer, as far as its head tells."""
+def answer_size(reply: frames.Reply) -> int:
+    """Return the size of an answer in bytes, or of its received part if the length is unknown."""
     if reply.end:
         return len(reply.head) + len(reply.body)
     length = header(heads.decode_headers(reply.head), b"content-length") or b""
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -210,7 +210,7 @@
     Mutant(
         "after a restart only the very same server is taken up",
         "hornbeamgw/daemon/adoption.py",
-        (("answer.status == HEALTHY and told == known.instance.encode()", "True"),),
+        (("answer.status == HEALTHY_STATUS and reported == known.instance.encode()", "True"),),
         ADOPTION,
     ),
     Mutant(
