--- a/hornbeamgw/daemon/committer.py
+++ b/hornbeamgw/daemon/committer.py
@@ -14,7 +14,7 @@
 from hornbeamgw.core import commit, edit, versions
 from hornbeamgw.core.commit import Head
 from hornbeamgw.core.edit import Delta, Edit, Rejection
-from hornbeamgw.core.versions import Origin, Path
+from hornbeamgw.core.versions import ArrivalPath, Origin
 from hornbeamgw.daemon.control import Control
 from hornbeamgw.daemon.reader import Reader
 from hornbeamgw.daemon.sources import of_commit
@@ -88,7 +88,7 @@
         if earlier is not None:
             return Committed(earlier["version"])
         known = self._control.versions.catalogue
-        if not commit.can_follow(known, head):
+        if not commit.is_at_head(known, head):
             return None
         accepted = edit.accept(known, wanted, round(time.time() * 1000))
         if isinstance(accepted, Err):
@@ -96,7 +96,7 @@
         delta = accepted.ok_value
         if not await self._write(head, row.etag if row else None, delta):
             return None
-        origin = Origin(Path.COMMIT, self._control.view.me.address)
+        origin = Origin(ArrivalPath.COMMIT, self._control.view.me.address)
         if self._control.learn_deltas([edit.encode_delta(delta)], origin):
             self._control.push()
         return Committed(delta["version"])
@@ -104,7 +104,7 @@
     async def _write(self, head: Head, etag: str | None, delta: Delta) -> bool:
         with_snapshot = commit.is_snapshot_due(head, delta["version"])
         if with_snapshot:
-            extended = edit.extend(self._control.versions.catalogue, delta)
+            extended = edit.apply_delta(self._control.versions.catalogue, delta)
             blob = versions.encode_catalogue(extended.unwrap())
             await self._objects.put(commit.snapshot_name(delta["digest"]), blob)
         plan = commit.plan(head, etag, delta, with_snapshot)
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -24,7 +24,7 @@
 from hornbeamgw.core.options import Settings, split_address
 from hornbeamgw.core.retry_budget import Bound, BudgetState
 from hornbeamgw.core.snapshot import Snapshot
-from hornbeamgw.core.standing import Standing
+from hornbeamgw.core.standing import RolloutStatus
 from hornbeamgw.daemon import logs, loop, plugins, sources
 from hornbeamgw.daemon.admin import Admin
 from hornbeamgw.daemon.adoption import Adoption
@@ -201,7 +201,7 @@
         if self._own_row is not None:
             self._own_row.note_findings(kept)
 
-    def _publish_standings(self, standings: tuple[Standing, ...], is_urgent: bool) -> None:
+    def _publish_standings(self, standings: tuple[RolloutStatus, ...], is_urgent: bool) -> None:
         self.control.update_me(standings=standings)
         if is_urgent:
             self.control.announce_everywhere()
--- a/hornbeamgw/daemon/servers.py
+++ b/hornbeamgw/daemon/servers.py
@@ -100,16 +100,18 @@
         if serving is None:
             serving = balancing.serving(view.members, service)
             self._serving_by_service[service] = serving
-            exposure.note_seen(self._exposure_state, service, {m.software for m in serving}, now)
+            exposure.record_versions(
+                self._exposure_state, service, {m.software for m in serving}, now
+            )
         if arm is Arm.BEFORE:
-            found = exposure.servers_before(self._exposure_state, service, serving, now)
+            found = exposure.servers_in_use(self._exposure_state, service, serving, now)
             if len(found) < len(serving):
                 self._cached_until = now + NEW_VERSION_RECHECK_S
             return found
         found = exposure.new_servers(self._exposure_state, service, serving)
         if arm is Arm.TURN:
             current = self._exposure_state.current_by_service[service]
-            return exposure.on_turn(found, exposure.turn_of(current), time.time())
+            return exposure.servers_on_turn(found, exposure.turn_seconds(current), time.time())
         return found
 
     def _load(self, member: Member, now: float) -> Load:
@@ -133,8 +135,10 @@
             return Arm.BEFORE
         length = self.traits_of(call).service
         idempotent = call.route.idempotent
-        asked = exposure.Asked(call.service, length, not call.placed, idempotent, has_waited)
-        return exposure.arm_of(self._exposure_state, asked, time.time(), self._rng)
+        traits = exposure.RequestTraits(
+            call.service, length, not call.placed, idempotent, has_waited
+        )
+        return exposure.select_arm(self._exposure_state, traits, time.time(), self._rng)
 
     async def _wait_for_arm(self, call: Call) -> Arm:
         """Return the rollout arm for a call; wait while no server may receive it."""
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -92,13 +92,13 @@
     Mutant(
         "a version on trial gets no more than its part",
         "hornbeamgw/core/exposure.py",
-        (("    return spent.sent + rng.random() <= allowed", "    return True"),),
+        (("    return counts.sent + rng.random() <= allowed", "    return True"),),
         ROLLOUTS,
     ),
     Mutant(
         "what was decided on a rollout is not undone by a later word",
         "hornbeamgw/core/standing.py",
-        (("decided = standing.phase if standing.is_final else 0", "decided = 0"),),
+        (("decided = status.phase if status.is_final else 0", "decided = 0"),),
         ROLLOUTS,
     ),
     Mutant(
@@ -106,8 +106,8 @@
         "hornbeamgw/core/evidence.py",
         (
             (
-                "    return found\n\n\ndef has_enough",
-                "    return Suspicion(0.0)\n\n\ndef has_enough",
+                "    return found\n\n\ndef has_enough_answers",
+                "    return Degradation(0.0)\n\n\ndef has_enough_answers",
             ),
         ),
         ROLLOUTS,
@@ -127,13 +127,13 @@
     Mutant(
         "an order is completed only once servers of before are drained",
         "hornbeamgw/core/rollout.py",
-        (("    return tally.closed_step == state.standing.step", "    return True"),),
+        (("    return tally.closed_step == state.status.step", "    return True"),),
         ROLLOUTS,
     ),
     Mutant(
         "a version without an order waits for one",
         "hornbeamgw/core/exposure.py",
-        (("    return is_later and now < seen + NEWCOMER_S", "    return False"),),
+        (("    return is_later and now < seen + NEW_VERSION_HOLD_S", "    return False"),),
         ROLLOUTS,
     ),
     Mutant(
@@ -204,7 +204,7 @@
     Mutant(
         "a run of a server that was followed by a later one never comes back",
         "hornbeamgw/core/registration.py",
-        (("if now - state.heard_at < LATE_WITHIN_S:", "if False:"),),
+        (("if now - state.received_at < LATE_HEARTBEAT_WINDOW_S:", "if False:"),),
         REBORN,
     ),
     Mutant(
@@ -222,7 +222,7 @@
     Mutant(
         "daemons that were stopped are looked for",
         "hornbeamgw/core/membership.py",
-        (("RETURN_EXPECTED_S = 30.0", "RETURN_EXPECTED_S = 0.0"),),
+        (("RESTART_PROBE_WINDOW_S = 30.0", "RESTART_PROBE_WINDOW_S = 0.0"),),
         OUTSIDE,
     ),
     Mutant(
@@ -234,19 +234,19 @@
     Mutant(
         "a known version is passed on to a range not covered yet",
         "hornbeamgw/core/node.py",
-        (("if message.version != known or asked in node.covered:", "if True:"),),
+        (("if message.version != known or requested_range in node.covered:", "if True:"),),
         SPREADING,
     ),
     Mutant(
         "another takes the place of a silent receiver",
         "hornbeamgw/core/node.py",
-        (("if failed is None or len(avoided) > spreading.PUSH_ROUNDS:", "if True:"),),
+        (("if failed is None or len(excluded) > spreading.MAX_PUSH_RETRIES:", "if True:"),),
         SPREADING,
     ),
     Mutant(
         "a suspect refutes",
         "hornbeamgw/core/membership.py",
-        (("_order(heard) > _order(state.me)", "False"),),
+        (("_rank(received) > _rank(state.me)", "False"),),
         SPREADING,
     ),
     Mutant(
@@ -271,13 +271,13 @@
         "hornbeamgw/core/edit.py",
         (
             (
-                "if parent_of(delta) != catalogue.version or "
+                "if parent_version_of(delta) != catalogue.version or "
                 'delta["version"] <= catalogue.version:',
                 "if False:",
             ),
             ('if delta["parent_digest"] != catalogue.digest:', "if False:"),
             (
-                'if _digest_after(catalogue, items, delta["changes"]) != delta["digest"]:',
+                'if _updated_digest(catalogue, items, delta["changes"]) != delta["digest"]:',
                 "if False:",
             ),
         ),
@@ -288,8 +288,8 @@
         "hornbeamgw/core/commit.py",
         (
             (
-                "Write(HEAD_KEY, msgspec.json.encode(moved), Condition(etag=head_etag))",
-                "Write(HEAD_KEY, msgspec.json.encode(moved), None)",
+                "Write(HEAD_KEY, msgspec.json.encode(new_head), Condition(etag=head_etag))",
+                "Write(HEAD_KEY, msgspec.json.encode(new_head), None)",
             ),
             ("absent = Condition(etag=None)", "absent = None"),
         ),
@@ -300,7 +300,7 @@
         "hornbeamgw/core/node.py",
         (
             (
-                "effects += want(node, hint.version, hint.sender, moment)",
+                "effects += request_pull(node, hint.version, hint.sender, moment)",
                 "pass",
             ),
         ),
