--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -62,7 +62,7 @@
 from hornbeamgw.daemon.link import LinkLost
 from hornbeamgw.daemon.progress import Progress, Unfinished, unfinished
 from hornbeamgw.daemon.quarantine import Quarantine
-from hornbeamgw.daemon.request_body import answer_expect, take_body
+from hornbeamgw.daemon.request_body import read_body, send_continue
 from hornbeamgw.daemon.server_answer import SERVER_ERROR
 from hornbeamgw.daemon.servers import Servers
 
@@ -148,12 +148,12 @@
             log_refused(call_id, found, view.snapshot.version)
             self._fail(connection, found, call_id)
             return
-        answer_expect(connection)
-        await take_body(connection, found, self._replay_limit)
+        send_continue(connection)
+        await read_body(connection, found, self._replay_limit)
         found.fingerprint = fingerprint_of_call(found, self._dialect)
         found.progress = Progress(started)
         if self.draining:
-            found.urgency.hurry(started)
+            found.urgency.mark_urgent(started)
         timer = loop.call_at(found.deadline, self._expire, found)
         connection.on_lost = lambda: self._leave(found)
         self._under_way.add(found)
@@ -178,7 +178,7 @@
         self.draining = True
         self._stop = plan
         for call in self._under_way:
-            call.urgency.hurry(plan.began_at)
+            call.urgency.mark_urgent(plan.began_at)
             if call.current is not None:
                 _hurry(call.current)
         self._pacer.reorder()
@@ -197,7 +197,7 @@
         traits, pacer = self._servers.traits_of(call), self._pacer
         pending = pacer.pending + pacer.pending_for_callers
         here = transfers.transfer_time(traits.size, pending, pacer.rate)
-        rate = pacing.usable_rate(self._servers.slowest_link(call, view))
+        rate = pacing.usable_rate(self._servers.min_bandwidth(call, view))
         transfer = max(here, transfers.transfer_time(traits.size, 0, rate))
         may_begin = stopping.may_begin(self._stop, call.deadline, traits.service + transfer, now)
         if may_begin and stopping.may_send(self._stop, transfer, now):
@@ -312,9 +312,9 @@
         is_bound_by_route = call.arrivals + 1 >= call.route.attempts or call.arrivals >= call.budget
         if is_bound_by_route or call.deadline - now < call.aim * LEAST_PART_TO_GO_ELSEWHERE:
             return False
-        has_other = self._servers.has_other(call, self._view(), now)
+        has_untried = self._servers.has_untried(call, self._view(), now)
         priority = call.route.priority
-        return has_other and retry_budget.allows_retry(self._budget, call.service, now, priority)
+        return has_untried and retry_budget.allows_retry(self._budget, call.service, now, priority)
 
     def _unplaced(self, call: Call) -> Failure:
         if not call.retry_after_ms:
@@ -422,7 +422,7 @@
     def _note_reply(self, call: Call, attempt: Attempt, reply: frames.Reply) -> None:
         now = asyncio.get_running_loop().time()
         traits = self._servers.traits_of(call)
-        size = len(call.body) + relay.size_of(reply)
+        size = len(call.body) + relay.answer_size(reply)
         call.status = reply.status
         failed = reply.status >= SERVER_ERROR
         placement.note_outcome(attempt.load, failed, now)
@@ -459,7 +459,7 @@
         self, connection: HttpConnection, call: Call, attempt: Attempt, reply: frames.Reply
     ) -> None:
         try:
-            await relay.answer(connection, call, attempt, reply, self.draining, self._pacer)
+            await relay.send_answer(connection, call, attempt, reply, self.draining, self._pacer)
         except (ConnectionLost, h11.LocalProtocolError) as error:
             self.counts["broken_answers"] += 1
             now = asyncio.get_running_loop().time()
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -32,7 +32,7 @@
 from hornbeamgw.daemon.progress import Unfinished, unfinished
 from hornbeamgw.daemon.quarantine import Quarantine
 from hornbeamgw.daemon.server_answer import SERVER_ERROR
-from hornbeamgw.daemon.server_exchange import MAX_WAIT_MS, ServerExchange
+from hornbeamgw.daemon.server_exchange import MAX_REPORTED_WAIT_MS, ServerExchange
 
 __all__ = ["Announcement", "Gate"]
 
@@ -152,7 +152,7 @@
         self.exchange.is_leaving = True
         for attempt in self._attempts.values():
             if attempt.outgoing is not None:
-                attempt.outgoing.leave()
+                attempt.outgoing.expedite()
         self.drain("the daemon stops")
 
     def drain(self, why: str) -> None:
@@ -283,10 +283,10 @@
 
     def _apart(self, fingerprint: int) -> Failure | None:
         """Refuse a request that ran at several ends beside another such: one is no cause."""
-        must_run_apart = self.quarantine.must_run_apart
-        if not must_run_apart(fingerprint):
+        must_run_isolated = self.quarantine.must_run_isolated
+        if not must_run_isolated(fingerprint):
             return None
-        if not any(must_run_apart(a.call.fingerprint) for a in self._attempts.values()):
+        if not any(must_run_isolated(a.call.fingerprint) for a in self._attempts.values()):
             return None
         return not_run(Reason.NO_SLOT, "runs apart from another", RETRY_AFTER_APART_MS)
 
@@ -315,7 +315,7 @@
         outlook = admission.outlook(self.state, request, asked.service, now)
         free = admission.free_slots(self.state)
         wait = outlook.wait + request.transfer
-        wait_ms = min(MAX_WAIT_MS, round(wait * 1000))
+        wait_ms = min(MAX_REPORTED_WAIT_MS, round(wait * 1000))
         self.counts["outlooks.taken" if outlook.would_admit else "outlooks.refused"] += 1
         return frames.Outlook(
             asked.number, outlook.would_admit, free, wait_ms, outlook.retry_after_ms
@@ -407,9 +407,9 @@
         log_end(attempt, failure, now)
         self._tally(attempt, failure, now)
         if failure is None and attempt.status < SERVER_ERROR:
-            self.quarantine.note_answered(attempt.call.fingerprint)
+            self.quarantine.record_answer(attempt.call.fingerprint)
         if failure is not None and failure.reason in (Reason.CALLER_GONE, Reason.DEADLINE):
-            self.exchange.end_watch.note_given_up(attempt.call.fingerprint)
+            self.exchange.crash_detector.record_abandoned(attempt.call.fingerprint)
         has_worked = failure is None or failure.reason is Reason.DEADLINE
         decisions = admission.finish(self.state, attempt.id, started, now, has_worked)
         if failure is not None:
@@ -475,7 +475,7 @@
         self.counts["server_ended"] += 1
         ran = [as_text(fingerprint) for fingerprint in fingerprints]
         log.warning("backend server ended", extra={"instance": run.instance, "ran": ran})
-        self.quarantine.note_end(fingerprints)
+        self.quarantine.record_crash(fingerprints)
 
     def _on_stalled(self, attempt: GateAttempt) -> None:
         self.counts["stalled_answers"] += 1
