--- a/features/steps/reborn.py
+++ b/features/steps/reborn.py
@@ -20,7 +20,7 @@
 from hornbeamgw.daemon import frames, heads, plugins
 from hornbeamgw.daemon.announcements import Announcements, decoders_by_name
 from hornbeamgw.daemon.attempts import Links
-from hornbeamgw.daemon.call import View
+from hornbeamgw.daemon.call import MeshView
 from hornbeamgw.daemon.directory import members_of
 from hornbeamgw.daemon.gate import Gate
 from hornbeamgw.daemon.gates import Gates
@@ -170,7 +170,7 @@
 
 
 def load_of(context, member, generation):
-    view = View(True, EMPTY, member, [member], generation)
+    view = MeshView(True, EMPTY, member, [member], generation)
     (candidate,) = context.servers._candidates(view, "roster", 10.0)
     assert isinstance(candidate, Candidate)
     return candidate.load
--- a/hornbeamgw/daemon/call.py
+++ b/hornbeamgw/daemon/call.py
@@ -1,4 +1,4 @@
-"""Call: one request of a caller, from its head to what became of it."""
+"""Call: the state of one request from a caller, and what is logged when it ends."""
 
 from __future__ import annotations
 
@@ -28,8 +28,11 @@
 log = logging.getLogger(__name__)
 
 
-class View(NamedTuple):
-    """Hold what a call is decided on, as it stands when the call arrives."""
+class MeshView(NamedTuple):
+    """The snapshot in force and the known members at the time when a call arrives.
+
+    `generation` changes whenever the membership view changes.
+    """
 
     ready: bool
     snapshot: Snapshot
@@ -39,14 +42,17 @@
 
 
 class Identity(NamedTuple):
-    """Hold how requests are worded here, and the service in whose name they are passed on."""
+    """The header dialect of this daemon, and the service name that it sends as the caller."""
 
     dialect: Dialect
     caller_service: str
 
 
-class Placed(NamedTuple):
-    """Tell where an attempt went and by which report of that daemon; times in ms."""
+class PlacementRecord(NamedTuple):
+    """The server of one attempt, and the load report on which it was chosen.
+
+    The field names are keys of the "call ended" log line.
+    """
 
     server: str
     free_slots: int | None
@@ -56,17 +62,45 @@
     why_far: str | None
 
 
-def placed_at(chosen: Candidate, why_far: RemoteReason | None, now: float) -> Placed:
-    """Return where an attempt goes, by which report, and why to another data centre."""
+def placement_record(
+    chosen: Candidate, why_far: RemoteReason | None, now: float
+) -> PlacementRecord:
+    """Return the chosen server with its load report and, if remote, the reason for that."""
     load = chosen.load
     age_ms = round((now - load.reported_at) * 1000)
     failure_probability = round(placement.failure_probability(load, now), 2)
     wait_ms = round(load.wait * 1000)
-    return Placed(chosen.key, load.free_slots, wait_ms, age_ms, failure_probability, why_far)
+    return PlacementRecord(
+        chosen.key, load.free_slots, wait_ms, age_ms, failure_probability, why_far
+    )
 
 
 class Call:
-    """Hold one call of a caller."""
+    """The state of one call from a caller.
+
+    Attributes
+    ----------
+    latency_objective : float
+        Latency objective of the route, in seconds.
+    answer_by : float
+        Loop time in seconds by which the answer should arrive, counted from the caller's first try.
+    time_left_ms : int
+        Time until the deadline that the caller sent, or the deadline of the route.
+    gates_asked : int
+        Number of servers that were asked for an outlook.
+    takers : list of Candidate
+        Servers whose outlook was that they would admit the call.
+    why_far : RemoteReason or None
+        Why a server in another data centre was chosen.
+    replacement_wait : float
+        Time in seconds spent waiting while all servers were about to be replaced.
+    reached_attempts, refused_attempts : int
+        Attempts that reached a server, and attempts that were refused before.
+    is_body_streaming : bool
+        Whether the rest of the request body is being sent, so that it can't be sent again.
+    tried : list of str
+        Keys of the servers that are not to be chosen again.
+    """
 
     def __init__(
         self,
@@ -77,34 +111,34 @@
         deadline: float,
         budget: int,
     ) -> None:
-        """Take its head, the route and service it goes to, its deadline and retry budget."""
+        """Start a call; `deadline` is loop time in seconds, `budget` the number of retries."""
         self.call_id = call_id
         self.route = route
         self.service = service
-        self.aim = route.objective_ms / 1000
-        self.objective = math.inf
-        self.came_back = False
+        self.latency_objective = route.objective_ms / 1000
+        self.answer_by = math.inf
+        self.is_caller_retry = False
         self.time_left_ms = 0
-        self.asked = 0
-        self.rounds_left = sampling.MAX_ROUNDS
+        self.gates_asked = 0
+        self.sampling_rounds_left = sampling.MAX_ROUNDS
         self.takers: list[Candidate] = []
         self.why_far: RemoteReason | None = None
-        self.waited = 0.0  # s, for servers that were about to be replaced
+        self.replacement_wait = 0.0
         self.retry_after_ms = 0
-        self.arrivals = 0
-        self.refusals = 0
+        self.reached_attempts = 0
+        self.refused_attempts = 0
         self.head = head
         self.deadline = deadline
         self.budget = budget
         self.body = b""
         self.body_complete = False
-        self.started_stream = False
+        self.is_body_streaming = False
         self.current: Attempt | None = None
         self.caller_gone = False
         self.expired = False
         self.is_given_up = False
         self.tried: list[str] = []
-        self.placed: list[Placed] = []
+        self.placed: list[PlacementRecord] = []
         self.status = 0
         self.fingerprint = UNKNOWN
         self.progress = Progress(0.0)
@@ -112,23 +146,23 @@
 
 
 def objective_left_ms(call: Call, now: float) -> int:
-    """Return what is left of the objective; past it, how long ago it passed, negative."""
-    return max(-frames.NO_OBJECTIVE_MS, round((call.objective - now) * 1000))
+    """Return the time in ms until the answer is due, negative if that time has passed."""
+    return max(-frames.NO_OBJECTIVE_MS, round((call.answer_by - now) * 1000))
 
 
-def sooner(earlier_ms: int, later_ms: int) -> int:
-    """Return the sooner of two times to come back; 0 is none."""
-    return min(earlier_ms, later_ms) if earlier_ms and later_ms else earlier_ms or later_ms
+def earliest_retry_ms(first_ms: int, second_ms: int) -> int:
+    """Return the shorter of two retry delays in ms, where 0 means that none is known."""
+    return min(first_ms, second_ms) if first_ms and second_ms else first_ms or second_ms
 
 
 def call_id_of(request: h11.Request, name: bytes) -> str:
-    """Return the id that a caller gave in a header, or a new one."""
+    """Return the call id from the header `name`, or a new one if it is missing."""
     given = header(request.headers, name)
     return given.decode("latin-1")[:64] if given else uuid.uuid4().hex[:16]
 
 
-def number_of(request: h11.Request, name: bytes, default: int) -> int:
-    """Return the whole number in a header; raise BadRequest."""
+def int_header(request: h11.Request, name: bytes, default: int) -> int:
+    """Return the integer in the header `name`; raise BadRequest if it isn't one."""
     given = header(request.headers, name) if name else None
     if given is None:
         return default
@@ -137,8 +171,8 @@
     return int(given)
 
 
-def passed_on(request: h11.Request, identity: Identity) -> Headers:
-    """Return the headers of a request for the backend server, but for those of each attempt."""
+def forwarded_headers(request: h11.Request, identity: Identity) -> Headers:
+    """Return the headers to forward to the backend server, without those set per attempt."""
     dialect = identity.dialect
     replaced = dialect.set_by_daemons | {dialect.call_id, b"expect"}
     kept = [h for h in end_to_end(request.headers) if h[0] not in replaced]
@@ -148,9 +182,9 @@
 
 
 def fingerprint_of_call(call: Call, dialect: Dialect) -> int:
-    """Return what a call is known by when it comes again: its target, caller and body.
+    """Return a hash of target, caller and body by which a repeated request is recognised.
 
-    Of a body that is still on its way the part that has come counts, and the length announced.
+    If the body is incomplete, the received part and the content-length header are hashed.
     """
     head = call.head
     names = (b"host", *dialect.identifies_caller)
@@ -161,8 +195,8 @@
 
 
 def log_end(call: Call, failure: Failure | None, elapsed: float, version: int) -> None:
-    """Tell how a call ended (elapsed in s) and what decided where it went."""
-    told: dict[str, Any] = {
+    """Log how a call ended after `elapsed` seconds, and how its servers were chosen."""
+    fields: dict[str, Any] = {
         "call_id": call.call_id,
         "route": call.route.name,
         "service": call.service,
@@ -172,23 +206,23 @@
         "time_left_ms": call.time_left_ms,
         "placed": [placed._asdict() for placed in call.placed],
     }
-    if call.asked:
-        told["gates_asked"] = call.asked
-    if call.came_back:
-        told["came_back"] = True
-    if call.waited:
-        told["waited_ms"] = round(call.waited * 1000)
+    if call.gates_asked:
+        fields["gates_asked"] = call.gates_asked
+    if call.is_caller_retry:
+        fields["came_back"] = True
+    if call.replacement_wait:
+        fields["waited_ms"] = round(call.replacement_wait * 1000)
     if failure is None:
-        told["status"] = call.status
+        fields["status"] = call.status
     else:
-        told["fingerprint"] = as_text(call.fingerprint)
-        told["reason"] = failure.reason
-        told["detail"] = failure.detail
-        told["retry_after_ms"] = failure.retry_after_ms
-    log.info("call ended", extra=told)
+        fields["fingerprint"] = as_text(call.fingerprint)
+        fields["reason"] = failure.reason
+        fields["detail"] = failure.detail
+        fields["retry_after_ms"] = failure.retry_after_ms
+    log.info("call ended", extra=fields)
 
 
 def log_refused(call_id: str, failure: Failure, version: int) -> None:
-    """Tell why a request was refused before any attempt."""
-    told = {"reason": failure.reason, "detail": failure.detail, "version": version}
-    log.info("call refused", extra={"call_id": call_id, **told})
+    """Log why a request was refused before the first attempt."""
+    fields = {"reason": failure.reason, "detail": failure.detail, "version": version}
+    log.info("call refused", extra={"call_id": call_id, **fields})
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -1,4 +1,4 @@
-"""Calls: take requests of callers, choose backend servers, retry, and answer."""
+"""Calls: accept requests from callers, choose backend servers, retry, and answer."""
 
 from __future__ import annotations
 
@@ -43,16 +43,16 @@
 from hornbeamgw.daemon.call import (
     Call,
     Identity,
-    View,
+    MeshView,
     call_id_of,
+    earliest_retry_ms,
     fingerprint_of_call,
+    forwarded_headers,
+    int_header,
     log_end,
     log_refused,
-    number_of,
     objective_left_ms,
-    passed_on,
-    placed_at,
-    sooner,
+    placement_record,
 )
 from hornbeamgw.daemon.failures import send_failure
 from hornbeamgw.daemon.flow import Pacer
@@ -66,83 +66,106 @@
 from hornbeamgw.daemon.server_answer import SERVER_ERROR
 from hornbeamgw.daemon.servers import Servers
 
-__all__ = ["Calls", "Identity", "View"]
+__all__ = ["Calls", "Identity", "MeshView"]
 
 log = logging.getLogger(__name__)
 
-GATE_MARGIN = 0.05
+GATE_MARGIN_RATIO = 0.05
 GATE_MARGIN_MAX_S = 0.02
 NOT_READY_RETRY_MS = 1000
-NO_ENDPOINT_RETRY_MS = 200
+NO_SERVER_RETRY_MS = 200
 STOPPING_RETRY_MS = 20
-# The answer to a cancel takes a round trip.
+# Allows one round trip between data centres for the answer to a cancel frame.
 CANCEL_TIMEOUT_S = 0.1
 MAX_RETRY_BUDGET = 10
-# A refusal by a daemon beside a backend server costs nothing there, so others may be asked;
-# three ask every server of a service of today's sizes that is worth asking.
+# Attempts that a gate refuses don't load its backend server, so they have a limit of their own and
+# don't count towards the route's attempts.
 MAX_REFUSALS = 3
-SERVER_FAULTS = frozenset(
+SERVER_FAULT_REASONS = frozenset(
     {Reason.BACKEND_BROKE, Reason.BACKEND_REFUSED, Reason.BACKEND_UNREACHABLE, Reason.LINK_LOST}
 )
-# Callers that come back at the same moment would be refused again; they are told to spread
-# their returns over this part of the wait.
-RETURN_SPREAD = 0.5
-# A server that is asked anew needs a third of the objective (service_times.INITIAL_TIME_RATIO).
-LEAST_PART_TO_GO_ELSEWHERE = 0.3
-RETURN_MIN_MS = 10
+# Retry delays sent to callers are lengthened by a random ratio up to this one, so that callers
+# refused at the same time don't retry at the same time.
+RETRY_AFTER_SPREAD_RATIO = 0.5
+# A call only fails over to another server if this ratio of the latency objective is left; about the
+# initial estimate of the service time (service_times.INITIAL_TIME_RATIO).
+FAILOVER_MIN_OBJECTIVE_RATIO = 0.3
+RETRY_AFTER_MIN_MS = 10
 
 
 class Calls:
-    """Own the callers' connections and what this daemon saw of each backend server."""
+    """Handles the requests of callers: chooses servers, makes attempts and sends the answers."""
 
     def __init__(
         self,
-        view: Callable[[], View],
+        view: Callable[[], MeshView],
         links: Links,
         servers: Servers,
         replay_limit: int,
         rng: random.Random,
         identity: Identity,
         budget: BudgetState,
-        repeat_share: Callable[[], float],
+        retry_ratio: Callable[[], float],
         pacer: Pacer,
         quarantine: Quarantine,
-        exposed: ExposureState,
+        exposure_state: ExposureState,
     ) -> None:
-        """Take the view to decide on, the links to other daemons and what chooses servers."""
+        """Handle calls.
+
+        Parameters
+        ----------
+        view : callable
+            Returns the current snapshot and members.
+        links : Links
+            Links to other daemons.
+        servers : Servers
+            Chooses the server of each attempt.
+        replay_limit : int
+            Bytes of a request body up to which it is buffered for retries.
+        budget : BudgetState
+            Retry budget of the fleet.
+        retry_ratio : callable
+            Returns the ratio of requests running at the local servers that are retries.
+        pacer : Pacer
+            Shares the bandwidth of this VM among answers.
+        quarantine : Quarantine
+            Knows the fingerprints of requests that are not to be sent.
+        exposure_state : ExposureState
+            Counts the requests that reach new server versions during rollouts.
+        """
         self._identity = identity
         self._dialect = identity.dialect
         self._budget = budget
-        self._repeat_share = repeat_share
+        self._retry_ratio = retry_ratio
         self._pacer = pacer
         self._quarantine = quarantine
-        self._exposed = exposed
+        self._exposure_state = exposure_state
         self._splits = SplitState()
         self.counts: Counter[str] = Counter()
         self.histograms = Histograms()
         self.draining = False
         self._stop: stopping.Plan | None = None
-        self._under_way: set[Call] = set()
+        self._active_calls: set[Call] = set()
         self._view = view
         self._links = links
         self._servers = servers
-        self._returns = ReturnState()
+        self._caller_retry_state = ReturnState()
         self._replay_limit = replay_limit
         self._rng = rng
 
     async def on_request(self, connection: HttpConnection, request: h11.Request) -> None:
-        """Answer one request of a caller."""
+        """Answer one request from a caller."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         view = self._view()
         call_id = call_id_of(request, self._dialect.call_id)
-        found = self._open(view, request, call_id, started)
+        found = self._accept(view, request, call_id, started)
         if isinstance(found, Call):
             priority = found.route.priority
             retry_budget.note_request(self._budget, found.service, started, priority)
-            share = self._repeat_share()
-            retry_budget.note_nested_retry(self._budget, found.service, share, started)
-            found = self._refused_by_stop(found, view, started) or found
+            retry_ratio = self._retry_ratio()
+            retry_budget.note_nested_retry(self._budget, found.service, retry_ratio, started)
+            found = self._refusal_while_stopping(found, view, started) or found
         if isinstance(found, Failure):
             self.counts[f"failed.{found.reason}"] += 1
             log_refused(call_id, found, view.snapshot.version)
@@ -154,15 +177,15 @@
         found.progress = Progress(started)
         if self.draining:
             found.urgency.hurry(started)
-        timer = loop.call_at(found.deadline, self._expire, found)
-        connection.on_lost = lambda: self._leave(found)
-        self._under_way.add(found)
+        timer = loop.call_at(found.deadline, self._on_deadline, found)
+        connection.on_lost = lambda: self._on_caller_gone(found)
+        self._active_calls.add(found)
         try:
             failure = await self._attempt_until_done(connection, found, view)
         finally:
             timer.cancel()
             connection.on_lost = None
-            self._under_way.discard(found)
+            self._active_calls.discard(found)
         owner = (found.route.entry.owner, found.route.entry.traffic_class)
         elapsed = loop.time() - started
         verdict = Verdict.ANSWERED if failure is None else failure.verdict
@@ -174,41 +197,43 @@
             self._fail(connection, failure, call_id)
 
     def stop(self, plan: stopping.Plan) -> None:
-        """Close each connection after its answer, and ask for answers to be sent first."""
+        """Close connections after their current answers, and request these with priority."""
         self.draining = True
         self._stop = plan
-        for call in self._under_way:
+        for call in self._active_calls:
             call.urgency.hurry(plan.began_at)
             if call.current is not None:
-                _hurry(call.current)
+                _request_priority(call.current)
         self._pacer.reorder()
 
     def give_up(self) -> None:
-        """Tell callers what is known of the calls that have no answer as this daemon ends."""
-        for call in self._under_way:
+        """Fail the calls that are still unanswered when this daemon ends."""
+        for call in self._active_calls:
             call.expired = call.is_given_up = True
             if call.current is not None:
                 call.current.events.put(Ending())
 
-    def _refused_by_stop(self, call: Call, view: View, now: float) -> Failure | None:
-        """Refuse a call that could outlast this daemon."""
+    def _refusal_while_stopping(self, call: Call, view: MeshView, now: float) -> Failure | None:
+        """Return a refusal if the daemon is stopping and the call might not end in time."""
         if self._stop is None:
             return None
         traits, pacer = self._servers.traits_of(call), self._pacer
         pending = pacer.pending + pacer.pending_for_callers
-        here = transfers.transfer_time(traits.size, pending, pacer.rate)
+        local_transfer = transfers.transfer_time(traits.size, pending, pacer.rate)
         rate = pacing.usable_rate(self._servers.slowest_link(call, view))
-        transfer = max(here, transfers.transfer_time(traits.size, 0, rate))
+        transfer = max(local_transfer, transfers.transfer_time(traits.size, 0, rate))
         may_begin = stopping.may_begin(self._stop, call.deadline, traits.service + transfer, now)
         if may_begin and stopping.may_send(self._stop, transfer, now):
             return None
         return not_run(Reason.DRAINING, "this daemon stops", STOPPING_RETRY_MS)
 
     def unfinished(self, now: float) -> list[Unfinished]:
-        """Return the calls of callers that are under way."""
-        return [unfinished(call.call_id, call.progress, now) for call in self._under_way]
+        """Return the calls that are being handled."""
+        return [unfinished(call.call_id, call.progress, now) for call in self._active_calls]
 
-    def _open(self, view: View, request: h11.Request, call_id: str, now: float) -> Call | Failure:
+    def _accept(
+        self, view: MeshView, request: h11.Request, call_id: str, now: float
+    ) -> Call | Failure:
         if not view.ready:
             return not_run(Reason.NOT_READY, "no version in force", NOT_READY_RETRY_MS)
         host = (header(request.headers, b"host") or b"").decode("latin-1")
@@ -220,109 +245,116 @@
         route = match(view.snapshot, host, method, target)
         if route is None:
             return not_run(Reason.NO_ROUTE, f"{method} {host}{target.partition('?')[0]}")
-        allowed = number_of(request, self._dialect.deadline_ms, route.deadline_ms)
-        budget = number_of(request, self._dialect.retry_budget, retrying.DEFAULT_RETRY_BUDGET)
-        deadline = now + min(allowed, route.deadline_ms) / 1000
+        allowed_ms = int_header(request, self._dialect.deadline_ms, route.deadline_ms)
+        budget = int_header(request, self._dialect.retry_budget, retrying.DEFAULT_RETRY_BUDGET)
+        deadline = now + min(allowed_ms, route.deadline_ms) / 1000
         service = split.choose(self._splits, route, self._rng)
         head = heads.RequestHead(
-            request.method, target.encode("latin-1"), passed_on(request, self._identity)
+            request.method, target.encode("latin-1"), forwarded_headers(request, self._identity)
         )
         call = Call(call_id, route, service, head, deadline, min(budget, MAX_RETRY_BUDGET))
-        before = caller_retries.elapsed_before(self._returns, route.name, allowed, now)
-        call.came_back = before > 0
-        call.time_left_ms = allowed
-        call.objective = now + call.aim - before
+        already_spent = caller_retries.elapsed_before(
+            self._caller_retry_state, route.name, allowed_ms, now
+        )
+        call.is_caller_retry = already_spent > 0
+        call.time_left_ms = allowed_ms
+        call.answer_by = now + call.latency_objective - already_spent
         return call
 
-    def _expire(self, call: Call) -> None:
+    def _on_deadline(self, call: Call) -> None:
         call.expired = True
         if call.current is not None:
             call.current.events.put(Expired())
 
-    def _leave(self, call: Call) -> None:
+    def _on_caller_gone(self, call: Call) -> None:
         call.caller_gone = True
         if call.current is not None:
             call.current.events.put(CallerGone())
 
     async def _attempt_until_done(
-        self, connection: HttpConnection, call: Call, view: View
+        self, connection: HttpConnection, call: Call, view: MeshView
     ) -> Failure | None:
         loop = asyncio.get_running_loop()
         last: Failure | None = None
         while True:
-            # Looked at before each attempt: what ends servers is mostly told of during one.
+            # Checked before each attempt because the request may be quarantined during one.
             refusal = self._quarantine.refusal(call.fingerprint)
             if refusal is not None:
                 return retrying.combine(last.verdict, refusal) if last else refusal
             chosen = await self._servers.choose(call, view)
             if chosen is None:
-                return self._with_return(call, last or self._unplaced(call))
+                return self._with_retry_after(call, last or self._failure_without_server(call))
             if call.caller_gone or call.expired:
-                return last or self._too_late(call)
+                return last or self._failure_before_sending(call)
             failure = await self._attempt(connection, call, chosen)
             if failure is None:
                 return None
             if last is not None:
                 failure = retrying.combine(last.verdict, failure)
             last = failure
-            call.retry_after_ms = sooner(call.retry_after_ms, failure.retry_after_ms)
-            if call.caller_gone or call.started_stream or call.is_given_up:
+            call.retry_after_ms = earliest_retry_ms(call.retry_after_ms, failure.retry_after_ms)
+            if call.caller_gone or call.is_body_streaming or call.is_given_up:
                 return failure
-            call.arrivals += failure.reached_server
-            call.refusals += not failure.reached_server
+            call.reached_attempts += failure.reached_server
+            call.refused_attempts += not failure.reached_server
             retry = self._retry(call, failure, loop.time())
             if retry is None:
-                return self._with_return(call, failure)
+                return self._with_retry_after(call, failure)
             self.counts["retries"] += 1
             if failure.reached_server:
                 await asyncio.sleep(retry.delay)
             view = self._view()._replace(snapshot=view.snapshot)
 
-    def _with_return(self, call: Call, failure: Failure) -> Failure:
-        """Tell a caller whose request did not run when there will be room, each a bit later."""
+    def _with_retry_after(self, call: Call, failure: Failure) -> Failure:
+        """Add a randomised retry delay to the failure of a request that did not run."""
         if failure.verdict is not Verdict.NOT_RUN or not call.retry_after_ms:
             return failure
-        spread = self._rng.uniform(1, 1 + RETURN_SPREAD)
-        wait = max(RETURN_MIN_MS, round(call.retry_after_ms * spread))
+        spread = self._rng.uniform(1, 1 + RETRY_AFTER_SPREAD_RATIO)
+        wait = max(RETRY_AFTER_MIN_MS, round(call.retry_after_ms * spread))
         return failure._replace(retry_after_ms=wait)
 
     def _retry(self, call: Call, failure: Failure, now: float) -> retrying.Retry | None:
-        """Return a retry where the call, the route and the fleet's budget allow one."""
-        if call.refusals >= MAX_REFUSALS or call.arrivals >= call.route.attempts:
+        """Return a retry if the call, the route and the retry budget of the fleet allow one."""
+        if call.refused_attempts >= MAX_REFUSALS or call.reached_attempts >= call.route.attempts:
             return None
         remaining = call.deadline - now
         retry = retrying.plan_retry(
             failure,
             call.route.idempotent,
             len(call.placed) or 1,
-            call.budget - call.arrivals + 1,
+            call.budget - call.reached_attempts + 1,
             remaining,
             self._rng,
         )
-        if retry is None or not call.arrivals:
+        if retry is None or not call.reached_attempts:
             return retry
         if not retry_budget.take_retry(self._budget, call.service, now, call.route.priority):
             self.counts["retries_over_budget"] += 1
             return None
         return retry
 
-    def _may_go_elsewhere(self, call: Call) -> bool:
-        """Return whether a call whose link fell silent could still be served by another server."""
+    def _may_fail_over(self, call: Call) -> bool:
+        """Return whether a call whose link is silent can still be sent to another server."""
         now = asyncio.get_running_loop().time()
-        is_bound_by_route = call.arrivals + 1 >= call.route.attempts or call.arrivals >= call.budget
-        if is_bound_by_route or call.deadline - now < call.aim * LEAST_PART_TO_GO_ELSEWHERE:
+        is_out_of_attempts = (
+            call.reached_attempts + 1 >= call.route.attempts or call.reached_attempts >= call.budget
+        )
+        if (
+            is_out_of_attempts
+            or call.deadline - now < call.latency_objective * FAILOVER_MIN_OBJECTIVE_RATIO
+        ):
             return False
         has_other = self._servers.has_other(call, self._view(), now)
         priority = call.route.priority
         return has_other and retry_budget.allows_retry(self._budget, call.service, now, priority)
 
-    def _unplaced(self, call: Call) -> Failure:
+    def _failure_without_server(self, call: Call) -> Failure:
         if not call.retry_after_ms:
-            return _no_server(call.service)
+            return _no_server_failure(call.service)
         detail = f"{len(call.tried)} of the servers asked have no room in time"
         return not_run(Reason.NO_SLOT, detail, call.retry_after_ms)
 
-    def _too_late(self, call: Call) -> Failure:
+    def _failure_before_sending(self, call: Call) -> Failure:
         return not_run(Reason.CALLER_GONE if call.caller_gone else Reason.DEADLINE)
 
     async def _attempt(
@@ -333,44 +365,48 @@
         call.tried.append(chosen.key)
         if call.why_far is not None:
             self.counts[f"far.{call.why_far.name.lower()}"] += 1
-        call.placed.append(placed_at(chosen, call.why_far, loop.time()))
+        call.placed.append(placement_record(chosen, call.why_far, loop.time()))
         try:
             link = await self._links.link_to(address)
         except LinkLost as error:
             balancing.note_failure(chosen.load, loop.time())
             balancing.note_unreachable(chosen.load, loop.time())
-            return not_run(Reason.BACKEND_UNREACHABLE, str(error), NO_ENDPOINT_RETRY_MS)
+            return not_run(Reason.BACKEND_UNREACHABLE, str(error), NO_SERVER_RETRY_MS)
         now = loop.time()
         remaining = call.deadline - now
         if remaining <= 0 or call.caller_gone:
-            return self._too_late(call)
+            return self._failure_before_sending(call)
         server = chosen.member.server
         attempt = self._links.start(link, chosen.load, now, call.route.idempotent, server)
         call.current = attempt
         try:
             self._send_call(attempt, call, remaining)
             if self.draining:
-                _hurry(attempt)
-            exposure.record_sent(self._exposed, call.service, chosen.member.software)
+                _request_priority(attempt)
+            exposure.record_sent(self._exposure_state, call.service, chosen.member.software)
             failure = await self._await_answer(connection, call, attempt, address)
-            self._note_exposed(call, chosen, failure)
+            self._record_exposure(call, chosen, failure)
             return failure
         finally:
             call.current = None
             self._links.end(attempt)
 
-    def _note_exposed(self, call: Call, chosen: Candidate, failure: Failure | None) -> None:
-        """Count a request that has reached a server, and what became of it."""
+    def _record_exposure(self, call: Call, chosen: Candidate, failure: Failure | None) -> None:
+        """Record for rollouts whether a request has reached a server and how it ended."""
         if failure is not None and failure.verdict is Verdict.NOT_RUN:
             if failure.reached_server:
-                exposure.record_reached(self._exposed, call.service)
+                exposure.record_reached(self._exposure_state, call.service)
             return
-        exposure.record_reached(self._exposed, call.service)
-        is_bad = call.status >= SERVER_ERROR if failure is None else failure.reason in SERVER_FAULTS
-        exposure.record_answer(self._exposed, call.service, chosen.member.software, is_bad)
+        exposure.record_reached(self._exposure_state, call.service)
+        is_bad = (
+            call.status >= SERVER_ERROR
+            if failure is None
+            else failure.reason in SERVER_FAULT_REASONS
+        )
+        exposure.record_answer(self._exposure_state, call.service, chosen.member.software, is_bad)
 
     def _send_call(self, attempt: Attempt, call: Call, remaining: float) -> None:
-        margin = min(GATE_MARGIN_MAX_S, remaining * GATE_MARGIN)
+        margin = min(GATE_MARGIN_MAX_S, remaining * GATE_MARGIN_RATIO)
         frame = frames.Call(
             attempt.number,
             call.call_id,
@@ -386,8 +422,8 @@
             objective_left_ms(call, asyncio.get_running_loop().time()),
             call.route.objective_ms,
             call.route.priority,
-            call.came_back,
-            call.arrivals > 0,
+            call.is_caller_retry,
+            call.reached_attempts > 0,
             call.route.entry.limits,
             call.fingerprint,
             attempt.server,
@@ -405,21 +441,21 @@
             upload = asyncio.create_task(relay.upload(connection, call, attempt))
         try:
             event = await attempt.events.get()
-            while isinstance(event, LinkDoubted) and not self._may_go_elsewhere(call):
+            while isinstance(event, LinkDoubted) and not self._may_fail_over(call):
                 event = await attempt.events.get()
             if isinstance(event, frames.Reply):
                 balancing.note_success(attempt.load)
-                self._note_reply(call, attempt, event)
+                self._record_reply(call, attempt, event)
                 await self._relay(connection, call, attempt, event)
                 return None
             failure = await self._failure_of(event, attempt, address, call.deadline)
         finally:
             if upload is not None:
                 upload.cancel()
-        self._note_failure(attempt, failure, loop.time())
+        self._record_failure(attempt, failure, loop.time())
         return failure
 
-    def _note_reply(self, call: Call, attempt: Attempt, reply: frames.Reply) -> None:
+    def _record_reply(self, call: Call, attempt: Attempt, reply: frames.Reply) -> None:
         now = asyncio.get_running_loop().time()
         traits = self._servers.traits_of(call)
         size = len(call.body) + relay.size_of(reply)
@@ -429,12 +465,12 @@
         if not failed:
             placement.note_answer(traits, attempt.load, reply.service_ms / 1000, size)
 
-    def _note_failure(self, attempt: Attempt, failure: Failure, now: float) -> None:
+    def _record_failure(self, attempt: Attempt, failure: Failure, now: float) -> None:
         if failure.reason in (Reason.BACKEND_BROKE, Reason.LINK_LOST, Reason.BACKEND_UNREACHABLE):
             balancing.note_failure(attempt.load, now)
         if failure.reason is Reason.BACKEND_UNREACHABLE:
             balancing.note_unreachable(attempt.load, now)
-        if failure.reason in SERVER_FAULTS:
+        if failure.reason in SERVER_FAULT_REASONS:
             placement.note_outcome(attempt.load, True, now)
 
     async def _failure_of(
@@ -463,8 +499,11 @@
         except (ConnectionLost, h11.LocalProtocolError) as error:
             self.counts["broken_answers"] += 1
             now = asyncio.get_running_loop().time()
-            told = unfinished(call.call_id, call.progress, now)._asdict()
-            log.warning("answer broken off", extra={**told, "error": str(error)})
+            fields = unfinished(call.call_id, call.progress, now)._asdict()
+            log.warning(
+                "connection lost while sending an answer; closing the caller's connection",
+                extra={**fields, "error": str(error)},
+            )
             attempt.link.send(frames.Cancel(attempt.number))
             connection.abort()
 
@@ -473,7 +512,7 @@
 
 
 async def _failure_of_cancelled(attempt: Attempt) -> Failure:
-    """Return what the daemon beside the server says of an attempt that is cancelled."""
+    """Return the failure that the gate reports for a cancelled attempt."""
     try:
         async with asyncio.timeout(CANCEL_TIMEOUT_S):
             while not isinstance(event := await attempt.events.get(), frames.Refusal):
@@ -483,11 +522,11 @@
     return event.failure
 
 
-def _hurry(attempt: Attempt) -> None:
-    """Ask the daemon beside the server to send an answer before others."""
+def _request_priority(attempt: Attempt) -> None:
+    """Ask the gate to send the answer of an attempt before other answers."""
     attempt.link.send(frames.Credit(attempt.number, 0, urgent=True))
 
 
-def _no_server(service: str) -> Failure:
+def _no_server_failure(service: str) -> Failure:
     detail = f"no backend server of {service} is known"
-    return not_run(Reason.NO_BACKEND, detail, NO_ENDPOINT_RETRY_MS)
+    return not_run(Reason.NO_BACKEND, detail, NO_SERVER_RETRY_MS)
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -357,7 +357,7 @@
         if not self._attempts:
             self.idle.set()
 
-    def repeat_share(self) -> float:
+    def retry_ratio(self) -> float:
         """Return which part of what runs at the server has reached one before."""
         running = self.state.running_by_attempt
         if not running:
--- a/hornbeamgw/daemon/gates.py
+++ b/hornbeamgw/daemon/gates.py
@@ -219,12 +219,12 @@
         """End what still runs and return the call ids that were cut off."""
         return [call_id for gate in self.all for call_id in gate.cut_off()]
 
-    def repeat_share(self) -> float:
+    def retry_ratio(self) -> float:
         """Return which part of what runs at the servers here has reached one before."""
         running = [len(gate.state.running_by_attempt) for gate in self.all]
         if not any(running):
             return 0.0
-        shares = [gate.repeat_share() for gate in self.all]
+        shares = [gate.retry_ratio() for gate in self.all]
         return sum(map(float.__mul__, shares, map(float, running))) / sum(running)
 
 
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -30,7 +30,7 @@
 from hornbeamgw.daemon.adoption import Adoption
 from hornbeamgw.daemon.announcements import Announcements, decoders_by_name
 from hornbeamgw.daemon.attempts import Links
-from hornbeamgw.daemon.calls import Calls, Identity, View
+from hornbeamgw.daemon.calls import Calls, Identity, MeshView
 from hornbeamgw.daemon.committer import Committer
 from hornbeamgw.daemon.control import Control
 from hornbeamgw.daemon.directory import Directory
@@ -137,7 +137,7 @@
             rng,
             identity,
             self.budget,
-            self.gates.repeat_share,
+            self.gates.retry_ratio,
             pacer,
             self.quarantine,
             exposed,
@@ -177,9 +177,9 @@
         is_own = name == self.settings.server_service
         return is_own or not snapshot.version or name in snapshot.services
 
-    def _view(self) -> View:
+    def _view(self) -> MeshView:
         view = self.control.view
-        return View(
+        return MeshView(
             versions.is_ready(self.control.versions),
             self.control.versions.snapshot,
             view.me,
--- a/hornbeamgw/daemon/relay.py
+++ b/hornbeamgw/daemon/relay.py
@@ -21,7 +21,7 @@
     """Carry the rest of a request's body, as far as the other side grants it."""
     while True:
         await attempt.upload.take(0)
-        call.started_stream = True
+        call.is_body_streaming = True
         event = await connection.next_event()
         if isinstance(event, h11.Data):
             await attempt.upload.take(len(event.data))
--- a/hornbeamgw/daemon/servers.py
+++ b/hornbeamgw/daemon/servers.py
@@ -15,7 +15,7 @@
 from hornbeamgw.core.placement import PlacementState, RouteTraits
 from hornbeamgw.daemon import frames
 from hornbeamgw.daemon.attempts import Links
-from hornbeamgw.daemon.call import Call, View, objective_left_ms, sooner
+from hornbeamgw.daemon.call import Call, MeshView, earliest_retry_ms, objective_left_ms
 from hornbeamgw.daemon.outlooks import Told, is_as_good_as_any
 
 OwnOutlook = Callable[[frames.OutlookRequest], frames.Outlook]
@@ -60,21 +60,21 @@
 
     def traits_of(self, call: Call) -> RouteTraits:
         """Return what answers of a call's route are like."""
-        return placement.traits_of(self._placement, call.route.name, call.aim)
+        return placement.traits_of(self._placement, call.route.name, call.latency_objective)
 
-    def slowest_link(self, call: Call, view: View) -> float:
+    def slowest_link(self, call: Call, view: MeshView) -> float:
         """Return the narrowest bandwidth (bytes/s) of a server's VM, 0 where none is known."""
         candidates = self._candidates(view, call.service, asyncio.get_running_loop().time())
         known = (c.member.bandwidth for c in candidates if c.member.bandwidth)
         return min(known, default=0)
 
-    def has_other(self, call: Call, view: View, now: float) -> bool:
+    def has_other(self, call: Call, view: MeshView, now: float) -> bool:
         """Return whether there is a server that a call has not been sent to."""
         candidates = self._candidates(view, call.service, now)
         return any(c.key not in call.tried for c in candidates)
 
     def _candidates(
-        self, view: View, service: str, now: float, arm: Arm = Arm.BEFORE
+        self, view: MeshView, service: str, now: float, arm: Arm = Arm.BEFORE
     ) -> list[Candidate]:
         """Return the servers that a call may go to, found anew only where something has changed."""
         found_at = view.generation, self._exposed.generation
@@ -91,7 +91,7 @@
                 self._candidates_by_arm[service, arm] = candidates
         return candidates
 
-    def _of_arm(self, view: View, service: str, now: float, arm: Arm) -> list[Member]:
+    def _of_arm(self, view: MeshView, service: str, now: float, arm: Arm) -> list[Member]:
         serving = self._serving_by_service.get(service)
         if serving is None:
             serving = balancing.serving(view.members, service)
@@ -117,12 +117,14 @@
             self._loads_by_key[key] = (member.server_started_ms, load)
         return load
 
-    def _choice(self, call: Call, view: View, now: float, arm: Arm) -> Choice:
+    def _choice(self, call: Call, view: MeshView, now: float, arm: Arm) -> Choice:
         traits = self.traits_of(call)
         candidates = self._candidates(view, call.service, now, arm)
         if not candidates:
             candidates = self._candidates(view, call.service, now)
-        return Choice(view.me, candidates, call.tried, traits, call.aim, now, call.objective)
+        return Choice(
+            view.me, candidates, call.tried, traits, call.latency_objective, now, call.answer_by
+        )
 
     def _arm_of(self, call: Call, has_waited: bool = False) -> Arm:
         if not self._exposed.current_by_service:
@@ -145,10 +147,10 @@
         while arm is Arm.WAIT and loop.time() < until and not (call.caller_gone or call.expired):
             await asyncio.sleep(WAIT_STEP_S)
             arm = self._arm_of(call, has_waited=True)
-        call.waited += loop.time() - since
+        call.replacement_wait += loop.time() - since
         return Arm.BEFORE if arm is Arm.WAIT else arm
 
-    async def choose(self, call: Call, view: View) -> Candidate | None:
+    async def choose(self, call: Call, view: MeshView) -> Candidate | None:
         """Return where to send a call: by what was heard of all servers, or by asking some."""
         arm = await self._awaited_arm(call)
         choice = self._choice(call, view, asyncio.get_running_loop().time(), arm)
@@ -163,15 +165,17 @@
         if own is not None:
             return own
         found = self._best_taker(call, choice)
-        while call.rounds_left and not (found and sampling.is_short(found.load.wait, call.aim)):
-            is_first = call.rounds_left == sampling.MAX_ROUNDS
+        while call.sampling_rounds_left and not (
+            found and sampling.is_short(found.load.wait, call.latency_objective)
+        ):
+            is_first = call.sampling_rounds_left == sampling.MAX_ROUNDS
             is_near = is_first or not crossing.is_remote_better(choice, found)
-            call.rounds_left -= 1
+            call.sampling_rounds_left -= 1
             asked = sampling.sample(choice, is_near, self._rng)
             told = await self._ask(call, [c for c in asked if c not in call.takers])
             call.takers += told.takers
             call.tried += [c.key for c in told.refusers]
-            call.retry_after_ms = sooner(call.retry_after_ms, told.retry_after_ms)
+            call.retry_after_ms = earliest_retry_ms(call.retry_after_ms, told.retry_after_ms)
             choice = choice._replace(now=asyncio.get_running_loop().time())
             found = self._best_taker(call, choice)
         if found is None and not call.retry_after_ms:
@@ -190,7 +194,7 @@
             if not told.refusers:
                 return chosen
             call.tried.append(chosen.key)
-            call.retry_after_ms = sooner(call.retry_after_ms, told.retry_after_ms)
+            call.retry_after_ms = earliest_retry_ms(call.retry_after_ms, told.retry_after_ms)
             choice = choice._replace(now=asyncio.get_running_loop().time())
         return None
 
@@ -222,7 +226,7 @@
             return NOTHING_TOLD
         request = _question(call, asyncio.get_running_loop().time())
         self._links.counts["outlooks_asked"] += len(linked)
-        call.asked += len(linked)
+        call.gates_asked += len(linked)
         return await self._links.outlooks.ask(linked, request)
 
 
@@ -236,5 +240,5 @@
         objective_left_ms(call, now),
         call.route.objective_ms,
         call.route.priority,
-        call.came_back,
+        call.is_caller_retry,
     )
