--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -111,7 +111,7 @@
         await asyncio.sleep(after / 1000)
         address = context.b.control.view.me.address
         link = await context.a.links.link_to(address)
-        context.a.links._doubt(link, asyncio.get_running_loop().time())
+        context.a.links._on_link_silent(link, asyncio.get_running_loop().time())
 
     async def ask():
         client = HttpClient(context.fleet.callers(context.a), 15.0)
--- a/features/steps/reborn.py
+++ b/features/steps/reborn.py
@@ -136,7 +136,7 @@
 @when('"i-1" leaves, and is announced as started at 2000')
 def left_and_started(context):
     async def leave():
-        context.gate.forget_server()
+        context.gate.remove_server()
         context.gate.announce(announcement(context.address, 2000))
         await asyncio.sleep(0.05)
 
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -291,7 +291,7 @@
     context.scripted = await asyncio.start_server(on_connection, "127.0.0.1", 0)
     host, port = context.scripted.sockets[0].getsockname()
     one_daemon(context, 1, 0.1, 50)
-    context.gate = Gate(lambda: EMPTY, lambda: None, exposed=context.state)
+    context.gate = Gate(lambda: EMPTY, lambda: None, exposure_state=context.state)
     serving = ServerState.SERVING
     told = Announcement(SERVICE, f"{host}:{port}", 6, 9, serving, 1e12, "i-1", software="v1")
     context.gate.announce(told)
--- a/features/steps/servers.py
+++ b/features/steps/servers.py
@@ -87,7 +87,7 @@
 
 
 def on_change(context):
-    membership.update_me(context.view, 0.0, **context.gates.record())
+    membership.update_me(context.view, 0.0, **context.gates.member_fields())
 
 
 async def heard(context, name, version, slots, address="", state=ServerState.SERVING):
--- a/features/steps/stopping_overlaps.py
+++ b/features/steps/stopping_overlaps.py
@@ -479,7 +479,7 @@
 @when("a caller of the first asks for 300 KB, and that server says that it is gone")
 def server_gone(context):
     async def act():
-        context.daemons[0].gate.forget_server()
+        context.daemons[0].gate.remove_server()
 
     ask_and_then(context, context.daemons[1], act)
 
--- a/hornbeamgw/daemon/announcements.py
+++ b/hornbeamgw/daemon/announcements.py
@@ -142,10 +142,10 @@
     def _forget(self, address: str) -> None:
         """Take no more work for the server at an address."""
         self.states_by_address[address].current = None
-        gate = self._gates.at(split_address(address)[1])
+        gate = self._gates.gate_for(split_address(address)[1])
         if gate.announcement is not None:
             gate.drain("the backend server leaves")
-            gate.forget_server()
+            gate.remove_server()
         self._keep()
 
     async def adopt(self, health_path_of: Callable[[str], str | None]) -> None:
@@ -183,9 +183,9 @@
         if home is None:
             return
         registration.retire(self._state_at(home), instance)
-        gate = self._gates.at(split_address(home)[1])
+        gate = self._gates.gate_for(split_address(home)[1])
         if gate.state.server_state is not ServerState.NONE:
-            gate.forget_server()
+            gate.remove_server()
         self._keep()
 
 
--- a/hornbeamgw/daemon/attempts.py
+++ b/hornbeamgw/daemon/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: calls under way to other daemons, over one kept link to each."""
+"""Attempts: requests sent to the gates of other daemons, over one persistent link to each."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 
 log = logging.getLogger(__name__)
 
-# A dial takes two round trips of 3 ms between data centres; a caller of the users has 500 ms.
+# Covers two round trips between data centres, and leaves time for an attempt at another server.
 DIAL_TIMEOUT_S = 0.2
 RESOLVE_TIMEOUT_S = 1.0
-RESOLVE_LEAST_S = 0.05
+RESOLVE_TIMEOUT_MIN_S = 0.05
 
 
 class LinkGone(NamedTuple):
-    """Tell an attempt that its link was lost."""
+    """The link of an attempt was lost."""
 
 
-class LinkDoubted(NamedTuple):
-    """Tell an attempt that its link is silent; its answer may still come."""
+class LinkSilent(NamedTuple):
+    """The link of an attempt has received nothing for a while; an answer may still arrive."""
 
 
 class CallerGone(NamedTuple):
-    """Tell an attempt that its caller has left."""
+    """The caller has closed its connection."""
 
 
-class Expired(NamedTuple):
-    """Tell an attempt that its deadline has passed."""
+class DeadlineExpired(NamedTuple):
+    """The deadline of the call has passed."""
 
 
-class Ending(NamedTuple):
-    """Tell an attempt that this daemon ends."""
+class DaemonStopping(NamedTuple):
+    """This daemon is about to exit."""
 
 
 Event = (
@@ -50,15 +50,29 @@
     | frames.Body
     | frames.Refusal
     | LinkGone
-    | LinkDoubted
+    | LinkSilent
     | CallerGone
-    | Expired
-    | Ending
+    | DeadlineExpired
+    | DaemonStopping
 )
 
 
 class Attempt:
-    """Hold one attempt from its first frame to its last."""
+    """The state of one attempt at the daemon that sends it.
+
+    Attributes
+    ----------
+    server : int
+        Number of the backend server at the other daemon.
+    answered : bool
+        Whether an answer or a refusal has arrived.
+    started : float
+        Loop time of the start in seconds.
+    events : Mailbox
+        Frames and events for the task that handles the call.
+    upload : Window
+        Bytes of the request body that the gate still accepts.
+    """
 
     def __init__(
         self,
@@ -69,7 +83,7 @@
         idempotent: bool = False,
         server: int = 0,
     ) -> None:
-        """Take the link that it runs on, and the number of the server there."""
+        """Start with nothing received."""
         self.idempotent = idempotent
         self.server = server
         self.answered = False
@@ -82,16 +96,26 @@
 
 
 class Links:
-    """Own the links to other daemons and match their frames with attempts."""
+    """The links to other daemons, with the attempts to which received frames belong."""
 
     def __init__(
         self,
         hello: Callable[[], frames.Hello],
         on_fault: Callable[[str], None],
-        crossed: Counter[str] | None = None,
+        remote_byte_counts: Counter[str] | None = None,
     ) -> None:
-        """Take one's own hello, what to call for a fault, and where to count bytes that cross."""
-        self._crossed = Counter() if crossed is None else crossed
+        """Start without links.
+
+        Parameters
+        ----------
+        hello : callable
+            Returns the hello frame of this daemon.
+        on_fault : callable
+            Called with the reason of a protocol error.
+        remote_byte_counts : Counter, optional
+            Counts the bytes sent to other data centres, by kind of frame.
+        """
+        self._remote_byte_counts = Counter() if remote_byte_counts is None else remote_byte_counts
         self.counts: Counter[str] = Counter()
         self.outlooks = Outlooks()
         self._hello = hello
@@ -102,15 +126,15 @@
         self._next_number = 0
 
     async def link_to(self, address: str) -> Link:
-        """Return the link to a daemon, opening one where there is none; raise LinkLost."""
+        """Return the link to a daemon, opening it if necessary; raise LinkLost if that fails."""
         link = self._links_by_address.get(address)
         if link is not None and not link.lost:
             return link
         task = self._dialling_by_address.get(address) or self._begin_dial(address)
         return await asyncio.shield(task)
 
-    def open_link(self, address: str) -> Link | None:
-        """Return the link to a daemon where one is open; else begin to open one."""
+    def link_if_open(self, address: str) -> Link | None:
+        """Return the link to a daemon if it is open; otherwise start to open it."""
         link = self._links_by_address.get(address)
         if link is not None and not link.lost:
             return link
@@ -121,7 +145,7 @@
     def _begin_dial(self, address: str) -> asyncio.Task[Link]:
         task = asyncio.create_task(self._dial(address))
         self._dialling_by_address[address] = task
-        task.add_done_callback(lambda done: self._dialled(address, done))
+        task.add_done_callback(lambda done: self._on_dialled(address, done))
         return task
 
     async def _dial(self, address: str) -> Link:
@@ -129,17 +153,17 @@
             address, self._hello(), self._on_frame, self._on_lost, self._on_fault, DIAL_TIMEOUT_S
         )
 
-    def _dialled(self, address: str, task: asyncio.Task[Link]) -> None:
+    def _on_dialled(self, address: str, task: asyncio.Task[Link]) -> None:
         self._dialling_by_address.pop(address, None)
         if not task.cancelled() and task.exception() is None:
             link = task.result()
-            link.crossed = self._crossed
+            link.crossed = self._remote_byte_counts
             self._links_by_address[address] = link
 
     def start(
         self, link: Link, load: Load, now: float, idempotent: bool = False, server: int = 0
     ) -> Attempt:
-        """Return a new attempt on a link, for a server by its number there."""
+        """Return a new attempt on a link, for the server with that number at the other daemon."""
         self._next_number += 1
         attempt = Attempt(self._next_number, link, load, now, idempotent, server)
         self._attempts_by_number[attempt.number] = attempt
@@ -149,7 +173,7 @@
         return attempt
 
     def end(self, attempt: Attempt) -> None:
-        """Forget an attempt; whatever still comes for it is dropped."""
+        """Remove an attempt; frames that still arrive for it are dropped."""
         if self._attempts_by_number.pop(attempt.number, None) is not None:
             attempt.load.outstanding -= 1
 
@@ -166,7 +190,7 @@
             attempt.upload.add(frame.size)
         else:
             if isinstance(frame, frames.Body) and frame.leaving:
-                # What the sender can't wait for is held here until the caller's link has room.
+                # The sender is stopping: accept its data now and buffer it here for the caller.
                 link.send(frames.Credit(attempt.number, BUFFER_BYTES))
             if not isinstance(frame, frames.Body):
                 now = asyncio.get_running_loop().time()
@@ -182,7 +206,7 @@
                 attempt.events.put(LinkGone())
 
     def check(self, now: float) -> None:
-        """Look for silent links among those that something is waited for on."""
+        """Check the links with open attempts for silence."""
         waiting = {attempt.link for attempt in self._attempts_by_number.values()}
         for link in list(self._links_by_address.values()):
             if link.lost:
@@ -190,22 +214,25 @@
             if link in waiting:
                 link.check(now)
                 if now - link.received_at >= DOUBTED_AFTER_S:
-                    self._doubt(link, now)
+                    self._on_link_silent(link, now)
 
-    def _doubt(self, link: Link, now: float) -> None:
-        """Send nothing more over a silent link for now, and give up on what may run elsewhere."""
+    def _on_link_silent(self, link: Link, now: float) -> None:
+        """Avoid the servers behind a silent link, and let idempotent attempts fail over."""
         self.counts["links_doubted"] += 1
         for attempt in self._attempts_by_number.values():
             if attempt.link is link:
                 balancing.note_unreachable(attempt.load, now)
                 if attempt.idempotent and not attempt.answered:
-                    attempt.events.put(LinkDoubted())
+                    attempt.events.put(LinkSilent())
 
     async def resolve(
-        self, address: str, attempt: Attempt, now: float, left: float = RESOLVE_TIMEOUT_S
+        self, address: str, attempt: Attempt, now: float, remaining: float = RESOLVE_TIMEOUT_S
     ) -> Failure:
-        """Ask on a new link what became of an attempt whose link was lost, within a time (s)."""
-        timeout = max(RESOLVE_LEAST_S, min(RESOLVE_TIMEOUT_S, left))
+        """Ask over a new link whether an attempt was admitted before its link was lost.
+
+        `remaining` is the time in seconds that is left for the answer.
+        """
+        timeout = max(RESOLVE_TIMEOUT_MIN_S, min(RESOLVE_TIMEOUT_S, remaining))
         age_ms = max(0, round((now - attempt.started) * 1000))
         question = frames.Question(attempt.number, age_ms, attempt.server)
         try:
--- a/hornbeamgw/daemon/call.py
+++ b/hornbeamgw/daemon/call.py
@@ -31,7 +31,7 @@
 class MeshView(NamedTuple):
     """The snapshot in force and the known members at the time when a call arrives.
 
-    `generation` changes whenever the membership view changes.
+    `ready` is whether a version is in force, and `generation` changes with the membership view.
     """
 
     ready: bool
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -34,11 +34,11 @@
 from hornbeamgw.daemon.attempts import (
     Attempt,
     CallerGone,
-    Ending,
-    Expired,
-    LinkDoubted,
+    DaemonStopping,
+    DeadlineExpired,
     LinkGone,
     Links,
+    LinkSilent,
 )
 from hornbeamgw.daemon.call import (
     Call,
@@ -211,7 +211,7 @@
         for call in self._active_calls:
             call.expired = call.is_given_up = True
             if call.current is not None:
-                call.current.events.put(Ending())
+                call.current.events.put(DaemonStopping())
 
     def _refusal_while_stopping(self, call: Call, view: MeshView, now: float) -> Failure | None:
         """Return a refusal if the daemon is stopping and the call might not end in time."""
@@ -264,7 +264,7 @@
     def _on_deadline(self, call: Call) -> None:
         call.expired = True
         if call.current is not None:
-            call.current.events.put(Expired())
+            call.current.events.put(DeadlineExpired())
 
     def _on_caller_gone(self, call: Call) -> None:
         call.caller_gone = True
@@ -275,23 +275,25 @@
         self, connection: HttpConnection, call: Call, view: MeshView
     ) -> Failure | None:
         loop = asyncio.get_running_loop()
-        last: Failure | None = None
+        last_failure: Failure | None = None
         while True:
             # Checked before each attempt because the request may be quarantined during one.
             refusal = self._quarantine.refusal(call.fingerprint)
             if refusal is not None:
-                return retrying.combine(last.verdict, refusal) if last else refusal
+                return retrying.combine(last_failure.verdict, refusal) if last_failure else refusal
             chosen = await self._servers.choose(call, view)
             if chosen is None:
-                return self._with_retry_after(call, last or self._failure_without_server(call))
+                return self._with_retry_after(
+                    call, last_failure or self._failure_without_server(call)
+                )
             if call.caller_gone or call.expired:
-                return last or self._failure_before_sending(call)
+                return last_failure or self._failure_before_sending(call)
             failure = await self._attempt(connection, call, chosen)
             if failure is None:
                 return None
-            if last is not None:
-                failure = retrying.combine(last.verdict, failure)
-            last = failure
+            if last_failure is not None:
+                failure = retrying.combine(last_failure.verdict, failure)
+            last_failure = failure
             call.retry_after_ms = earliest_retry_ms(call.retry_after_ms, failure.retry_after_ms)
             if call.caller_gone or call.is_body_streaming or call.is_given_up:
                 return failure
@@ -441,7 +443,7 @@
             upload = asyncio.create_task(relay.upload(connection, call, attempt))
         try:
             event = await attempt.events.get()
-            while isinstance(event, LinkDoubted) and not self._may_fail_over(call):
+            while isinstance(event, LinkSilent) and not self._may_fail_over(call):
                 event = await attempt.events.get()
             if isinstance(event, frames.Reply):
                 balancing.note_success(attempt.load)
@@ -478,14 +480,14 @@
     ) -> Failure:
         if isinstance(event, frames.Refusal):
             return event.failure
-        if isinstance(event, LinkDoubted) or (isinstance(event, LinkGone) and attempt.idempotent):
+        if isinstance(event, LinkSilent) or (isinstance(event, LinkGone) and attempt.idempotent):
             attempt.link.send(frames.Cancel(attempt.number))
             return may_have_run(Reason.LINK_LOST, "the link is silent or lost")
         if isinstance(event, LinkGone):
             now = asyncio.get_running_loop().time()
             return await self._links.resolve(address, attempt, now, deadline - now)
         attempt.link.send(frames.Cancel(attempt.number))
-        if isinstance(event, Ending):
+        if isinstance(event, DaemonStopping):
             return await _failure_of_cancelled(attempt)
         if isinstance(event, CallerGone):
             return may_have_run(Reason.CALLER_GONE)
@@ -501,7 +503,7 @@
             now = asyncio.get_running_loop().time()
             fields = unfinished(call.call_id, call.progress, now)._asdict()
             log.warning(
-                "connection lost while sending an answer; closing the caller's connection",
+                "answer interrupted before its end; closing the caller's connection",
                 extra={**fields, "error": str(error)},
             )
             attempt.link.send(frames.Cancel(attempt.number))
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -1,4 +1,4 @@
-"""Gate: admits calls from other daemons and carries them to the backend server beside it."""
+"""Gate: admits calls from other daemons and forwards them to a backend server on this VM."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from hornbeamgw.daemon.flow import Pacer
 from hornbeamgw.daemon.gate_attempt import (
     GateAttempt,
+    admission_request,
     drop_answer,
-    hurry,
     log_end,
     log_refused,
-    request_of,
+    request_priority,
     stop,
 )
 from hornbeamgw.daemon.link import Link
@@ -39,23 +39,20 @@
 log = logging.getLogger(__name__)
 
 RETRY_AFTER_NOT_READY_MS = 20
-# An answer that has begun is carried to its end, also past the deadline; one that then stalls is
-# cut off. The users' largest, 1.7 MB, take half a second over their narrowest links.
+# An answer that has begun may be completed after the deadline, for at most this long.
 ANSWER_MAX_S = 10.0
-
-
-# The daemon beside the gate asks without a link; nothing is kept of a question.
-OWN_QUESTION = AttemptId("", 0, 0)
-# A gate by itself tells nobody of what it finds.
-NOBODY = Member("", "", "", 0)
-# A request that must run apart is told to come back after a short request of another's.
-RETRY_AFTER_APART_MS = 20
-# A request that a closed server refuses finds another at once.
+# Attempt id in requests for an outlook from this daemon itself, which have no link.
+LOCAL_ATTEMPT_ID = AttemptId("", 0, 0)
+# Member of a quarantine that publishes nothing.
+NO_MEMBER = Member("", "", "", 0)
+# A request that must not run beside other suspects is retried after about one short request.
+RETRY_AFTER_ISOLATION_MS = 20
+# A server that is about to be replaced refuses requests; another server can take them at once.
 RETRY_AFTER_CLOSED_MS = 20
 
 
 class Gate:
-    """Own the admission state and the connections to the backend server."""
+    """Admits attempts of other daemons to one backend server, and runs them there."""
 
     def __init__(
         self,
@@ -65,22 +62,42 @@
         policy: str = "deadline",
         pacer: Pacer | None = None,
         quarantine: Quarantine | None = None,
-        exposed: ExposureState | None = None,
+        exposure_state: ExposureState | None = None,
     ) -> None:
-        """Take the snapshot in force and what to call when the server's state changes.
-
-        Rollouts tell when servers of a version are closed; without, no order is ever heard of.
+        """Open a gate without a backend server.
+
+        Parameters
+        ----------
+        snapshot : callable
+            Returns the snapshot in force.
+        on_server_change : callable
+            Called when the state of the backend server changes.
+        dialect : Dialect
+            Headers that the backend server understands.
+        policy : str
+            Name of the queueing policy.
+        pacer : Pacer, optional
+            Shares the bandwidth of this VM among answers.
+        quarantine : Quarantine, optional
+            Knows the fingerprints of requests that are not to run.
+        exposure_state : ExposureState, optional
+            Knows from rollouts whether servers of a version are closed. Without it, none are.
         """
-        self._exposed = exposed or ExposureState(ExposureBound(0.0, 0.0))
-        self.quarantine = quarantine or Quarantine(NOBODY, lambda *told: None)
+        self._exposure_state = exposure_state or ExposureState(ExposureBound(0.0, 0.0))
+        self.quarantine = quarantine or Quarantine(NO_MEMBER, lambda *told: None)
         self.state = AdmissionState(policy)
         self.announcement: Announcement | None = None
         self._last_run: Announcement | None = None
-        self._ended_run: Announcement | None = None
+        self._crashed_run: Announcement | None = None
         self.counts: Counter[str] = Counter()
         self.counts_by_route: dict[str, Count] = {}
         self.exchange = ServerExchange(
-            self.state, dialect, pacer or Pacer(), self.counts, self._on_stalled, self._on_end
+            self.state,
+            dialect,
+            pacer or Pacer(),
+            self.counts,
+            self._on_stalled,
+            self._on_server_crash,
         )
         self.idle = asyncio.Event()
         self.idle.set()
@@ -92,13 +109,13 @@
         self._reserved_for: tuple[Snapshot, str] | None = None
 
     def announce(self, announcement: Announcement) -> None:
-        """Take or renew what the backend server says of itself."""
-        before, last = self.announcement, self._last_run
+        """Register the backend server or renew its registration."""
+        previous, last = self.announcement, self._last_run
         is_same = last is None or is_same_run(last, announcement)
         if last is not None and not is_same:
             is_later = 0 < last.started_ms < announcement.started_ms
             self._forget_run(f"{announcement.instance} was started", is_later)
-        # Who announces itself lives, whatever its connections did.
+        # An announcement shows that the server runs, even if connections to it were lost.
         breaker.note_sound(self.exchange.breaker)
         self._last_run = announcement
         self.exchange.instance = announcement.instance
@@ -113,13 +130,16 @@
         if announcement.state is ServerState.DRAINING and not draining:
             self.drain("announced by the backend server")
         self.state.server_state = announcement.state
-        if before is None or not is_renewal(before, announcement):
+        if previous is None or not is_renewal(previous, announcement):
             log.info("backend server announced", extra={"announcement": announcement._asdict()})
             self._on_server_change()
 
     def _forget_run(self, why: str, is_over: bool) -> None:
-        """Drop what was learned of a run; where it is surely over, end what ran there."""
-        log.info("another run of the backend server", extra={"why": why, "is_over": is_over})
+        """Discard the state of a run of the server; if it is over, also fail its attempts."""
+        log.info(
+            "backend server restarted; discarding the state of its previous run",
+            extra={"why": why, "is_over": is_over},
+        )
         self.exchange.forget_run()
         self.counts_by_route.clear()
         self.quarantine.forget_run()
@@ -128,18 +148,21 @@
             return
         for attempt in list(self._attempts.values()):
             if attempt.task is not None and not attempt.task.done():
-                attempt.ended_by = may_have_run(Reason.BACKEND_BROKE, why)
+                attempt.stop_failure = may_have_run(Reason.BACKEND_BROKE, why)
                 stop(attempt)
 
     def expire(self, now: float) -> None:
-        """Forget a server that no longer renews what it announced, and drop late requests."""
+        """Remove a server whose announcement has expired, and refuse requests queued too long."""
         if self.announcement is not None and now >= self.announcement.expires_at:
-            log.warning("announcement expired", extra={"service": self.announcement.service})
-            self.forget_server()
-        self._act(admission.next_decisions(self.state, now))
-
-    def forget_server(self) -> None:
-        """Take no more work for the backend server."""
+            log.warning(
+                "announcement expired without renewal; removing the backend server",
+                extra={"service": self.announcement.service},
+            )
+            self.remove_server()
+        self._apply(admission.next_decisions(self.state, now))
+
+    def remove_server(self) -> None:
+        """Remove the backend server, so that no more requests are admitted."""
         self.announcement = None
         self.exchange.instance = ""
         self.state.server_state = ServerState.NONE
@@ -147,7 +170,7 @@
         self._on_server_change()
 
     def stop(self) -> None:
-        """Drain for good, as the daemon stops."""
+        """Drain permanently because the daemon stops."""
         self._stopping = True
         self.exchange.is_leaving = True
         for attempt in self._attempts.values():
@@ -156,30 +179,30 @@
         self.drain("the daemon stops")
 
     def drain(self, why: str) -> None:
-        """Take no new work from now on; what runs goes on to its end."""
+        """Admit no more requests; running ones complete."""
         now = asyncio.get_running_loop().time()
         log.info("drain begins", extra={"why": why, "running": len(self._attempts)})
-        self._act(admission.drain(self.state, now))
+        self._apply(admission.drain(self.state, now))
         if self.announcement is not None:
             self.announcement = self.announcement._replace(state=ServerState.DRAINING)
         self._on_server_change()
 
     def cut_off(self) -> list[str]:
-        """End what still runs and return the call ids that were cut off."""
+        """Cancel the running attempts and return their call ids."""
         running = [a for a in self._attempts.values() if a.task is not None]
         for attempt in running:
             stop(attempt)
         return [attempt.call.call_id for attempt in running]
 
     def unfinished(self, now: float) -> list[Unfinished]:
-        """Return the attempts that wait or run here, and those whose answers are on their way."""
+        """Return the attempts that are queued, running or sending their answers."""
         return [
             unfinished(attempt.call.call_id, attempt.progress, now)
             for attempt in self._attempts.values()
         ]
 
     def on_frame(self, link: Link, frame: frames.Frame) -> None:
-        """Take a frame of a call from another daemon."""
+        """Handle a frame from another daemon."""
         assert link.peer is not None
         if isinstance(frame, frames.Call):
             self._on_call(link, frame)
@@ -200,18 +223,22 @@
             attempt.bodies.put(frame)
         elif isinstance(frame, frames.Credit):
             if frame.urgent:
-                hurry(attempt)
+                request_priority(attempt)
             if attempt.outgoing is not None:
                 attempt.outgoing.window.add(frame.size)
         else:
             self._on_cancel(attempt)
 
-    def holds(self, attempt: AttemptId) -> bool:
-        """Return whether an attempt waits or runs here."""
+    def has_attempt(self, attempt: AttemptId) -> bool:
+        """Return whether an attempt is queued, running or sending its answer."""
         return attempt in self._attempts
 
     def on_lost(self, link: Link) -> None:
-        """Go on with what runs; the other side asks on a new link what became of it."""
+        """Stop uploads and answers on a lost link.
+
+        Attempts with a complete request keep running; the sender asks for their status on a new
+        link.
+        """
         for attempt in self._attempts.values():
             if attempt.link is link and not attempt.call.end and attempt.task is not None:
                 attempt.task.cancel()
@@ -252,7 +279,9 @@
             failure = not_run(Reason.BACKEND_UNREACHABLE, detail, round(wait * 1000))
             self._send_failure(attempt, failure)
             return
-        refusal = self.quarantine.refusal(call.fingerprint) or self._apart(call.fingerprint)
+        refusal = self.quarantine.refusal(call.fingerprint) or self._isolation_refusal(
+            call.fingerprint
+        )
         if self.stop_plan is not None and not self.exchange.may_send(
             link, call.route, self.stop_plan
         ):
@@ -262,7 +291,7 @@
             self.counts[f"refused.{refusal.reason}"] += 1
             self._send_failure(attempt, refusal)
             return
-        if not call.idempotent and self._is_closed():
+        if not call.idempotent and self._is_closed_by_rollout():
             self.counts["refused.closed"] += 1
             detail = "the server is about to be replaced"
             failure = not_run(Reason.DRAINING, detail, RETRY_AFTER_CLOSED_MS)
@@ -270,62 +299,65 @@
             return
         self._refresh_reserved()
         transfer = self.exchange.transfer_time(link, call.route)
-        request = request_of(call, attempt_id, limits, transfer, now)
+        request = admission_request(call, attempt_id, limits, transfer, now)
         decision = admission.admit(self.state, request, call.service, now)
         if not isinstance(decision, Refused):
             self._attempts[attempt_id] = attempt
             self.idle.clear()
-            self._act([decision])
+            self._apply([decision])
             return
         self.counts[f"refused.{decision.failure.reason}"] += 1
         self._send_failure(attempt, decision.failure)
 
-    def _apart(self, fingerprint: int) -> Failure | None:
-        """Refuse a request that ran at several ends beside another such: one is no cause."""
+    def _isolation_refusal(self, fingerprint: int) -> Failure | None:
+        """Return a refusal if a crash suspect would run at the same time as another one.
+
+        If both ran during a crash, it would be unclear which one caused it.
+        """
         must_run_apart = self.quarantine.must_run_apart
         if not must_run_apart(fingerprint):
             return None
         if not any(must_run_apart(a.call.fingerprint) for a in self._attempts.values()):
             return None
-        return not_run(Reason.NO_SLOT, "runs apart from another", RETRY_AFTER_APART_MS)
+        return not_run(Reason.NO_SLOT, "runs apart from another", RETRY_AFTER_ISOLATION_MS)
 
-    def _outlook(self, link: Link, asked: frames.OutlookRequest) -> frames.Outlook:
+    def _outlook(self, link: Link, query: frames.OutlookRequest) -> frames.Outlook:
         assert link.peer is not None
         attempt_id = AttemptId(link.peer.member, link.peer.incarnation, 0)
-        return self._outlook_of(asked, attempt_id, self.exchange.transfer_time(link, asked.route))
+        return self._outlook_for(query, attempt_id, self.exchange.transfer_time(link, query.route))
 
-    def own_outlook(self, asked: frames.OutlookRequest) -> frames.Outlook:
-        """Return what a request that begins here could expect at this gate, without a frame."""
-        return self._outlook_of(asked, OWN_QUESTION, 0.0)
+    def local_outlook(self, query: frames.OutlookRequest) -> frames.Outlook:
+        """Return the outlook for a request of this daemon itself."""
+        return self._outlook_for(query, LOCAL_ATTEMPT_ID, 0.0)
 
-    def _outlook_of(
-        self, asked: frames.OutlookRequest, attempt_id: AttemptId, transfer: float
+    def _outlook_for(
+        self, query: frames.OutlookRequest, attempt_id: AttemptId, transfer: float
     ) -> frames.Outlook:
         now = asyncio.get_running_loop().time()
-        limits = self._limits(asked.entry)
+        limits = self._limits(query.entry)
         if limits is None:
-            return frames.Outlook(asked.number, False, 0, 0, RETRY_AFTER_NOT_READY_MS)
+            return frames.Outlook(query.number, False, 0, 0, RETRY_AFTER_NOT_READY_MS)
         open_until = self.exchange.breaker.open_until
         if now < open_until:
             left_ms = round((open_until - now) * 1000)
-            return frames.Outlook(asked.number, False, 0, 0, max(1, left_ms))
+            return frames.Outlook(query.number, False, 0, 0, max(1, left_ms))
         self._refresh_reserved()
-        request = request_of(asked, attempt_id, limits, transfer, now)
-        outlook = admission.outlook(self.state, request, asked.service, now)
+        request = admission_request(query, attempt_id, limits, transfer, now)
+        outlook = admission.outlook(self.state, request, query.service, now)
         free = admission.free_slots(self.state)
         wait = outlook.wait + request.transfer
         wait_ms = min(MAX_WAIT_MS, round(wait * 1000))
         self.counts["outlooks.taken" if outlook.would_admit else "outlooks.refused"] += 1
         return frames.Outlook(
-            asked.number, outlook.would_admit, free, wait_ms, outlook.retry_after_ms
+            query.number, outlook.would_admit, free, wait_ms, outlook.retry_after_ms
         )
 
     def _on_question(self, link: Link, attempt: AttemptId, question: frames.Question) -> None:
         now = asyncio.get_running_loop().time()
         verdict = admission.resolve(self.state, attempt, question.age_ms / 1000, now)
-        waiting = self._attempts.get(attempt)
-        if verdict is Verdict.NOT_RUN and waiting is not None:
-            self._forget(waiting)
+        queued = self._attempts.get(attempt)
+        if verdict is Verdict.NOT_RUN and queued is not None:
+            self._remove(queued)
         self.counts[f"resolved.{verdict}"] += 1
         link.send(frames.Resolution(question.attempt, verdict is not Verdict.NOT_RUN))
 
@@ -334,13 +366,13 @@
         self.counts["cancelled"] += 1
         if admission.withdraw(self.state, attempt.id, now):
             self._send_failure(attempt, not_run(Reason.CALLER_GONE, "withdrawn"))
-            self._forget(attempt)
+            self._remove(attempt)
         elif attempt.task is not None and (attempt.call.idempotent or attempt.task.done()):
             stop(attempt)
         else:
             drop_answer(attempt)
 
-    def _act(self, decisions: list[Decision]) -> None:
+    def _apply(self, decisions: list[Decision]) -> None:
         for decision in decisions:
             attempt = self._attempts.get(decision.request.attempt)
             if attempt is None:
@@ -350,20 +382,20 @@
             elif isinstance(decision, Refused):
                 self.counts[f"refused.{decision.failure.reason}"] += 1
                 self._send_failure(attempt, decision.failure)
-                self._forget(attempt)
+                self._remove(attempt)
 
-    def _forget(self, attempt: GateAttempt) -> None:
+    def _remove(self, attempt: GateAttempt) -> None:
         self._attempts.pop(attempt.id, None)
         if not self._attempts:
             self.idle.set()
 
     def retry_ratio(self) -> float:
-        """Return which part of what runs at the server has reached one before."""
+        """Return the ratio of running requests whose call reached a server before."""
         running = self.state.running_by_attempt
         if not running:
             return 0.0
-        repeats = sum(self._attempts[a].call.repeat for a in running if a in self._attempts)
-        return repeats / len(running)
+        retries = sum(self._attempts[a].call.repeat for a in running if a in self._attempts)
+        return retries / len(running)
 
     def _send_failure(self, attempt: GateAttempt, failure: Failure) -> None:
         free, wait_ms = self.exchange.load()
@@ -380,7 +412,7 @@
         attempt.task.add_done_callback(lambda task: self._finish(attempt, started, task))
 
     async def _run(self, attempt: GateAttempt, deadline: float) -> Failure | None:
-        # It may have waited for its slot since it came.
+        # Checked again because it may have been quarantined while it was queued.
         refusal = self.quarantine.refusal(attempt.call.fingerprint)
         if refusal is not None:
             return refusal
@@ -390,94 +422,112 @@
         except TimeoutError:
             return may_have_run(Reason.DEADLINE, "the deadline passed while it ran")
         except Exception as error:
-            log.exception("attempt failed", extra={"call_id": attempt.call.call_id})
+            log.exception(
+                "attempt failed with an unexpected error", extra={"call_id": attempt.call.call_id}
+            )
             return may_have_run(Reason.BACKEND_BROKE, repr(error))
 
     def _finish(
         self, attempt: GateAttempt, started: float, task: asyncio.Task[Failure | None]
     ) -> None:
-        """Free the slot; here, since a task cancelled before its first step runs nothing."""
+        """Free the slot and report a failure.
+
+        This is a callback because a task that is cancelled before its first step runs no code.
+        """
         if task.cancelled():
             gone = may_have_run(Reason.CALLER_GONE, "cancelled while it ran")
-            failure: Failure | None = attempt.ended_by or gone
+            failure: Failure | None = attempt.stop_failure or gone
         else:
             failure = task.result()
         now = asyncio.get_running_loop().time()
         log_end(attempt, failure, now)
-        self._tally(attempt, failure, now)
+        self._count_outcome(attempt, failure, now)
         if failure is None and attempt.status < SERVER_ERROR:
             self.quarantine.note_answered(attempt.call.fingerprint)
         if failure is not None and failure.reason in (Reason.CALLER_GONE, Reason.DEADLINE):
             self.exchange.end_watch.note_given_up(attempt.call.fingerprint)
-        has_worked = failure is None or failure.reason is Reason.DEADLINE
-        decisions = admission.finish(self.state, attempt.id, started, now, has_worked)
+        was_processed = failure is None or failure.reason is Reason.DEADLINE
+        decisions = admission.finish(self.state, attempt.id, started, now, was_processed)
         if failure is not None:
             self.counts[f"failed.{failure.reason}"] += 1
             self._send_failure(attempt, failure)
-        self._end(attempt, failure)
-        self._act(decisions)
+        self._remove_when_sent(attempt, failure)
+        self._apply(decisions)
 
-    def _is_closed(self) -> bool:
-        known = self.announcement
-        if known is None:
+    def _is_closed_by_rollout(self) -> bool:
+        announced = self.announcement
+        if announced is None:
             return False
-        return exposure.closed_step(self._exposed, known.service, known.software) > 0
+        return exposure.closed_step(self._exposure_state, announced.service, announced.software) > 0
+
+    def tally(self, number: int, announced: Announcement) -> Tally:
+        """Return the counts of answers by route, and how many requests prevent a safe stop.
 
-    def tally(self, number: int, known: Announcement) -> Tally:
-        """Return what was counted at the server of that number, and whether it may be stopped."""
-        closed = exposure.closed_step(self._exposed, known.service, known.software)
+        `number` is the server's number and `announced` its announcement.
+        """
+        closed = exposure.closed_step(self._exposure_state, announced.service, announced.software)
         unsafe = sum(not attempt.call.idempotent for attempt in self._attempts.values())
         counts = dict(self.counts_by_route)
-        return Tally(known.service, number, known.software, counts, closed, unsafe if closed else 0)
+        return Tally(
+            announced.service, number, announced.software, counts, closed, unsafe if closed else 0
+        )
 
-    def tally_overdue(self, now: float) -> None:
-        """Count what runs so long that its answer is slow whenever it comes."""
+    def count_overdue(self, now: float) -> None:
+        """Count running attempts that already exceed the threshold for a slow answer."""
         for attempt in self._attempts.values():
             call = attempt.call
-            if attempt.task is None or attempt.is_tallied or attempt.answered_at:
+            if attempt.task is None or attempt.is_counted or attempt.answered_at:
                 continue
             is_cold = attempt.started_at < self.state.warm_at
             limit = tally.slow_threshold(call.typical_ms / 1000, call.aim_ms / 1000, is_cold)
             if now - attempt.started_at > limit:
-                attempt.is_tallied = True
+                attempt.is_counted = True
                 tally.record(self.counts_by_route, call.route, True)
 
-    def _tally(self, attempt: GateAttempt, failure: Failure | None, now: float) -> None:
-        """Count what became of an attempt, where that tells of its server."""
-        if attempt.is_tallied:
+    def _count_outcome(self, attempt: GateAttempt, failure: Failure | None, now: float) -> None:
+        """Count the outcome of an attempt if the server is responsible for it."""
+        if attempt.is_counted:
             return
         answered_at = attempt.answered_at or now
-        held, typical = answered_at - attempt.started_at, attempt.call.typical_ms / 1000
+        elapsed, typical = answered_at - attempt.started_at, attempt.call.typical_ms / 1000
         is_cold = attempt.started_at < self.state.warm_at
-        aim = attempt.call.aim_ms / 1000
+        latency_objective = attempt.call.aim_ms / 1000
         bad = tally.is_bad(
-            tally.AttemptOutcome(failure, attempt.status, held, typical, aim, is_cold)
+            tally.AttemptOutcome(
+                failure, attempt.status, elapsed, typical, latency_objective, is_cold
+            )
         )
         if bad is not None:
             tally.record(self.counts_by_route, attempt.call.route, bad)
 
-    def _end(self, attempt: GateAttempt, failure: Failure | None) -> None:
-        """Forget an attempt once the rest of its answer is sent, or at once where it failed."""
+    def _remove_when_sent(self, attempt: GateAttempt, failure: Failure | None) -> None:
+        """Remove an attempt after the rest of its answer is sent, or immediately if it failed."""
         outgoing = attempt.outgoing
         if outgoing is None or outgoing.task.done() or failure is not None:
             if outgoing is not None:
                 outgoing.stop()
-            self._forget(attempt)
+            self._remove(attempt)
             return
-        outgoing.task.add_done_callback(lambda _: self._forget(attempt))
+        outgoing.task.add_done_callback(lambda _: self._remove(attempt))
 
-    def _on_end(self, fingerprints: Sequence[int]) -> None:
+    def _on_server_crash(self, fingerprints: Sequence[int]) -> None:
         run = self._last_run
-        if run is None or (run.instance and is_same_run(self._ended_run, run)):
+        if run is None or (run.instance and is_same_run(self._crashed_run, run)):
             return
-        self._ended_run = run
+        self._crashed_run = run
         self.counts["server_ended"] += 1
         ran = [as_text(fingerprint) for fingerprint in fingerprints]
-        log.warning("backend server ended", extra={"instance": run.instance, "ran": ran})
+        log.warning(
+            "backend server crashed; reporting the requests that were running",
+            extra={"instance": run.instance, "ran": ran},
+        )
         self.quarantine.note_end(fingerprints)
 
     def _on_stalled(self, attempt: GateAttempt) -> None:
         self.counts["stalled_answers"] += 1
         failure = may_have_run(Reason.DEADLINE, "the caller's daemon took no more of the answer")
-        log.warning("answer stalled", extra={"call_id": attempt.call.call_id})
+        log.warning(
+            "answer stalled; the caller's daemon did not accept the rest in time",
+            extra={"call_id": attempt.call.call_id},
+        )
         self._send_failure(attempt, failure)
--- a/hornbeamgw/daemon/gate_attempt.py
+++ b/hornbeamgw/daemon/gate_attempt.py
@@ -1,4 +1,4 @@
-"""Gate attempts: one attempt of another daemon, from its arrival to the end of its answer."""
+"""Gate attempts: the state of one attempt received from another daemon."""
 
 from __future__ import annotations
 
@@ -22,10 +22,31 @@
 
 
 class GateAttempt:
-    """Hold one attempt of another daemon, from its arrival to its end."""
+    """The state of one attempt received from another daemon, until its answer is sent.
+
+    Attributes
+    ----------
+    bodies : Mailbox
+        Received parts of the request body.
+    task : asyncio.Task or None
+        Exchange with the backend server; None while the attempt is queued.
+    outgoing : Outgoing or None
+        Sends the part of the answer that follows the reply frame.
+    limit : asyncio.Timeout or None
+        Timeout of the exchange.
+    stop_failure : Failure or None
+        Failure to report if the task is cancelled, instead of CALLER_GONE.
+    arrived_at, started_at, answered_at : float
+        Loop times in seconds of the arrival, of the start at the server, and of the answer's head
+        (0 before).
+    is_counted : bool
+        Whether the outcome was counted already because the answer is overdue.
+    is_answer_dropped : bool
+        Whether the answer is not to be sent.
+    """
 
     def __init__(self, attempt: AttemptId, link: Link, call: frames.Call) -> None:
-        """Take its id, the link that it came by and what it asks."""
+        """Start as queued."""
         self.id = attempt
         self.link = link
         self.call = call
@@ -34,54 +55,57 @@
         self.outgoing: Outgoing | None = None
         self.urgency = Urgency()
         self.limit: asyncio.Timeout | None = None
-        self.ended_by: Failure | None = None
+        self.stop_failure: Failure | None = None
         self.deadline = 0.0
         self.status = 0
         self.arrived_at = asyncio.get_running_loop().time()
         self.started_at = self.arrived_at
         self.answered_at = 0.0
-        self.is_tallied = False
-        self.is_dropped = False
+        self.is_counted = False
+        self.is_answer_dropped = False
         self._progress = Progress(self.arrived_at)
 
     @property
     def progress(self) -> Progress:
-        """Return how far the answer has been passed on to the other daemon."""
+        """Return how much of the answer has been forwarded to the other daemon."""
         return self._progress if self.outgoing is None else self.outgoing.progress
 
 
-def hurry(attempt: GateAttempt) -> None:
-    """Send the answer of an attempt, or what is left of it, before others."""
+def request_priority(attempt: GateAttempt) -> None:
+    """Send the rest of an attempt's answer before other answers."""
     attempt.urgency.hurry(asyncio.get_running_loop().time())
     if attempt.outgoing is not None:
         attempt.outgoing.reorder()
 
 
-def request_of(
-    asked: frames.Call | frames.OutlookRequest,
+def admission_request(
+    frame: frames.Call | frames.OutlookRequest,
     attempt: AttemptId,
     limits: Limits,
     transfer: float,
     now: float,
 ) -> Request:
-    """Return what admission needs to know of a call that has come, or that may come."""
+    """Return the admission request for a call or for a request for an outlook.
+
+    `transfer` is the expected time in seconds to send the answer.
+    """
     return Request(
         attempt,
-        asked.entry,
+        frame.entry,
         limits,
-        now + asked.deadline_ms / 1000,
-        asked.route,
-        now + asked.objective_ms / 1000,
-        asked.aim_ms / 1000,
-        asked.priority,
-        asked.came_back,
+        now + frame.deadline_ms / 1000,
+        frame.route,
+        now + frame.objective_ms / 1000,
+        frame.aim_ms / 1000,
+        frame.priority,
+        frame.came_back,
         transfer,
         now,
     )
 
 
 def stop(attempt: GateAttempt) -> None:
-    """End an attempt that has begun, and what is left of its answer."""
+    """Cancel the exchange of an attempt with the server, and send no more of its answer."""
     if attempt.task is not None:
         attempt.task.cancel()
     if attempt.outgoing is not None:
@@ -89,8 +113,8 @@
 
 
 def drop_answer(attempt: GateAttempt) -> None:
-    """Let an attempt run to its end, and send nothing more of its answer."""
-    attempt.is_dropped = True
+    """Send no more of an attempt's answer, but let the attempt complete."""
+    attempt.is_answer_dropped = True
     if attempt.outgoing is not None:
         attempt.outgoing.stop()
 
@@ -98,28 +122,28 @@
 def log_refused(
     attempt: GateAttempt, failure: Failure, wait_ms: int, state: AdmissionState
 ) -> None:
-    """Tell why an attempt was refused and how full it was here."""
+    """Log why an attempt was refused, and the load at that time."""
     call = attempt.call
-    told = {"reason": failure.reason, "verdict": failure.verdict, "wait_ms": wait_ms}
-    told |= {"running": len(state.running_by_attempt), "waiting": len(state.queue)}
-    told |= {"objective_ms": call.objective_ms, "deadline_ms": call.deadline_ms}
-    log.info("attempt refused", extra={"call_id": call.call_id, "route": call.route, **told})
+    fields = {"reason": failure.reason, "verdict": failure.verdict, "wait_ms": wait_ms}
+    fields |= {"running": len(state.running_by_attempt), "waiting": len(state.queue)}
+    fields |= {"objective_ms": call.objective_ms, "deadline_ms": call.deadline_ms}
+    log.info("attempt refused", extra={"call_id": call.call_id, "route": call.route, **fields})
 
 
 def log_end(attempt: GateAttempt, failure: Failure | None, now: float) -> None:
-    """Tell how an attempt ended, and how long it waited for a slot and held it."""
-    told: dict[str, object] = {"call_id": attempt.call.call_id, "route": attempt.call.route}
-    told["waited_ms"] = round((attempt.started_at - attempt.arrived_at) * 1000, 1)
-    told["held_ms"] = round((now - attempt.started_at) * 1000, 1)
-    told["verdict"] = Verdict.ANSWERED if failure is None else failure.verdict
+    """Log how an attempt ended, and how long it waited for a slot and occupied it."""
+    fields: dict[str, object] = {"call_id": attempt.call.call_id, "route": attempt.call.route}
+    fields["waited_ms"] = round((attempt.started_at - attempt.arrived_at) * 1000, 1)
+    fields["held_ms"] = round((now - attempt.started_at) * 1000, 1)
+    fields["verdict"] = Verdict.ANSWERED if failure is None else failure.verdict
     if failure is not None:
-        told |= {"reason": failure.reason, "detail": failure.detail}
-        told["fingerprint"] = as_text(attempt.call.fingerprint)
-    log.info("attempt ended", extra=told)
+        fields |= {"reason": failure.reason, "detail": failure.detail}
+        fields["fingerprint"] = as_text(attempt.call.fingerprint)
+    log.info("attempt ended", extra=fields)
 
 
 async def pump_body(attempt: GateAttempt, connection: HttpConnection) -> None:
-    """Carry the rest of a request's body to the backend server."""
+    """Forward the rest of a request's body to the backend server."""
     while True:
         part = await attempt.bodies.get()
         if part.data:
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -124,7 +124,7 @@
         self.links = Links(lambda: self.control.hello, self.control.fault, crossed)
         choose = balancing.chooser_of(settings.calls_balancing)
         exposed = self.rollouts.state
-        servers = Servers(self.links, choose, rng, self.gates.own_outlook, exposed)
+        servers = Servers(self.links, choose, rng, self.gates.local_outlook, exposed)
         replay_limit = round(settings.calls_replay_limit)
         identity = Identity(dialect, settings.server_service)
         bound = Bound(settings.budget_ratio, settings.budget_slack, settings.budget_window)
@@ -188,7 +188,7 @@
         )
 
     def _on_server_change(self) -> None:
-        self.control.update_me(**self.gates.record())
+        self.control.update_me(**self.gates.member_fields())
 
     def _publish_findings(
         self, findings: tuple[Finding, ...], kept: tuple[Finding, ...], is_urgent: bool
--- a/hornbeamgw/daemon/outgoing.py
+++ b/hornbeamgw/daemon/outgoing.py
@@ -91,16 +91,16 @@
     async def _send_all(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            self.progress.wait(WaitsFor.SERVER, loop.time())
+            self.progress.record_wait(WaitsFor.SERVER, loop.time())
             chunk = await self._chunks.get()
             for part in self._pacer.split(chunk.data):
-                self.progress.wait(WaitsFor.OTHER_DAEMON, loop.time())
+                self.progress.record_wait(WaitsFor.OTHER_DAEMON, loop.time())
                 await self.window.take(len(part))
-                self.progress.wait(WaitsFor.LINK, loop.time())
+                self.progress.record_wait(WaitsFor.LINK, loop.time())
                 await self._pacer.leave(len(part), self._pending, self._urgency)
                 self._link.send(frames.Body(self._attempt, part, False))
                 self._room.add(len(part))
-                self.progress.passed_on += len(part)
+                self.progress.forwarded_bytes += len(part)
                 self._pending -= len(part)
                 self._pacer.pending -= len(part)
             if chunk.end:
--- a/hornbeamgw/daemon/planned_stop.py
+++ b/hornbeamgw/daemon/planned_stop.py
@@ -10,7 +10,7 @@
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.http_server import HttpServer
 from hornbeamgw.daemon.peers import PeerServer
-from hornbeamgw.daemon.progress import MOST_TOLD
+from hornbeamgw.daemon.progress import MAX_LOGGED_CALLS
 
 log = logging.getLogger(__name__)
 
@@ -82,7 +82,7 @@
             ("caller", self._calls.unfinished(now)),
             ("daemon", self._gates.unfinished(now)),
         ):
-            for told in found[:MOST_TOLD]:
+            for told in found[:MAX_LOGGED_CALLS]:
                 extra = {"taken_from": taken_from, **told._asdict()}
                 log.warning("cut off by the stop", extra=extra)
         connections = f"{len(self._callers.connections)} connections of callers"
--- a/hornbeamgw/daemon/progress.py
+++ b/hornbeamgw/daemon/progress.py
@@ -1,16 +1,16 @@
-"""Progress: how far an answer has been passed on, and what the rest of it waits for."""
+"""Progress: how much of an answer has been forwarded, and what its remainder waits for."""
 
 from __future__ import annotations
 
 import enum
 from typing import NamedTuple
 
-# As many are told of when a daemon ends with work in flight; the others are counted.
-MOST_TOLD = 50
+# Limits the log lines of a daemon that stops with calls in flight.
+MAX_LOGGED_CALLS = 50
 
 
 class WaitsFor(enum.StrEnum):
-    """Name what an answer waits for."""
+    """Enumerate what an answer can wait for."""
 
     SERVER = "server"
     OTHER_DAEMON = "other_daemon"
@@ -19,22 +19,28 @@
 
 
 class Progress:
-    """Hold the bytes of a body passed on so far, and since when (loop time, s) the rest waits."""
+    """How many bytes of a body were forwarded, what the rest waits for, and since when.
+
+    `waiting_since` is loop time in seconds.
+    """
 
     def __init__(self, now: float) -> None:
-        """Start with a wait for the backend server."""
-        self.passed_on = 0
+        """Start as waiting for the backend server."""
+        self.forwarded_bytes = 0
         self.waits_for = WaitsFor.SERVER
-        self.since = now
+        self.waiting_since = now
 
-    def wait(self, waits_for: WaitsFor, now: float) -> None:
-        """Take what is waited for from now on."""
+    def record_wait(self, waits_for: WaitsFor, now: float) -> None:
+        """Record what the answer waits for from now on."""
         self.waits_for = waits_for
-        self.since = now
+        self.waiting_since = now
 
 
 class Unfinished(NamedTuple):
-    """Tell of a call under way: bytes of its answer passed on, and its wait (ms)."""
+    """A call in flight, with the forwarded bytes of its answer and its current wait in ms.
+
+    The field names are keys of log lines.
+    """
 
     call_id: str
     passed_on: int
@@ -43,6 +49,6 @@
 
 
 def unfinished(call_id: str, progress: Progress, now: float) -> Unfinished:
-    """Return what there is to tell of a call under way."""
-    waited_ms = round((now - progress.since) * 1000)
-    return Unfinished(call_id, progress.passed_on, progress.waits_for, waited_ms)
+    """Return a summary of a call in flight for logging."""
+    waited_ms = round((now - progress.waiting_since) * 1000)
+    return Unfinished(call_id, progress.forwarded_bytes, progress.waits_for, waited_ms)
--- a/hornbeamgw/daemon/relay.py
+++ b/hornbeamgw/daemon/relay.py
@@ -7,7 +7,7 @@
 import h11
 
 from hornbeamgw.daemon import frames, heads
-from hornbeamgw.daemon.attempts import Attempt, Ending, Expired
+from hornbeamgw.daemon.attempts import Attempt, DaemonStopping, DeadlineExpired
 from hornbeamgw.daemon.call import Call
 from hornbeamgw.daemon.flow import Pacer
 from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, header, response_of
@@ -50,7 +50,7 @@
     if reply.end:
         events.append(h11.EndOfMessage())
     connection.send(*events)
-    call.progress.passed_on = len(reply.body)
+    call.progress.forwarded_bytes = len(reply.body)
     if not reply.end:
         attempt.link.send(frames.Credit(attempt.number, len(reply.body)))
         left = size_of(reply) - len(reply.body)
@@ -65,23 +65,23 @@
     pacer.pending_for_callers += left
     try:
         while True:
-            progress.wait(WaitsFor.OTHER_DAEMON, loop.time())
+            progress.record_wait(WaitsFor.OTHER_DAEMON, loop.time())
             event = await attempt.events.get()
-            if isinstance(event, Expired | Ending):
+            if isinstance(event, DeadlineExpired | DaemonStopping):
                 # What has begun to arrive is of more use to the caller than an end cut off.
                 continue
             if not isinstance(event, frames.Body):
                 raise ConnectionLost(f"{type(event).__name__} before the end of the answer")
             if event.data:
-                progress.wait(WaitsFor.LINK, loop.time())
+                progress.record_wait(WaitsFor.LINK, loop.time())
                 await pacer.leave(len(event.data), left, call.urgency)
                 after = max(len(event.data), left - len(event.data))
                 pacer.pending_for_callers += after - left
                 left = after
                 connection.send(h11.Data(data=event.data))
-                progress.wait(WaitsFor.CALLER, loop.time())
+                progress.record_wait(WaitsFor.CALLER, loop.time())
                 await connection.drain()
-                progress.passed_on += len(event.data)
+                progress.forwarded_bytes += len(event.data)
                 attempt.link.send(frames.Credit(attempt.number, len(event.data)))
             if event.end:
                 connection.send(h11.EndOfMessage())
--- a/hornbeamgw/daemon/server_exchange.py
+++ b/hornbeamgw/daemon/server_exchange.py
@@ -184,10 +184,10 @@
         if attempt.limit is not None:
             attempt.limit.reschedule(limit)
         outgoing = self._open_outgoing(attempt, limit)
-        if attempt.is_dropped:
+        if attempt.is_answer_dropped:
             outgoing.stop()
         outgoing.window.available -= len(first)
-        outgoing.progress.passed_on = len(first)
+        outgoing.progress.forwarded_bytes = len(first)
         outgoing.put(rest, end)
         size = len(first) + len(rest)
         while not end:
--- a/hornbeamgw/daemon/servers.py
+++ b/hornbeamgw/daemon/servers.py
@@ -219,7 +219,7 @@
         return own if is_as_good_as_any(own, outlook) else None
 
     async def _ask(self, call: Call, candidates: Sequence[Candidate]) -> Told:
-        opened = [(c, self._links.open_link(c.member.address)) for c in candidates]
+        opened = [(c, self._links.link_if_open(c.member.address)) for c in candidates]
         # Of two servers beside one daemon the first is asked, since answers are told by their link.
         linked = {link: candidate for candidate, link in reversed(opened) if link is not None}
         if not linked:
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -121,7 +121,12 @@
     Mutant(
         "a closed server runs no further request that is not idempotent",
         "hornbeamgw/daemon/gate.py",
-        (("        if not call.idempotent and self._is_closed():", "        if False:"),),
+        (
+            (
+                "        if not call.idempotent and self._is_closed_by_rollout():",
+                "        if False:",
+            ),
+        ),
         ROLLOUTS,
     ),
     Mutant(
