--- a/hornbeamgw/daemon/attempts.py
+++ b/hornbeamgw/daemon/attempts.py
@@ -111,7 +111,7 @@
         hello : callable
             Returns the hello frame of this daemon.
         on_fault : callable
-            Called with the reason of a protocol error.
+            Called with a description of each protocol error.
         remote_byte_counts : Counter, optional
             Counts the bytes sent to other data centres, by kind of frame.
         """
--- a/hornbeamgw/daemon/call.py
+++ b/hornbeamgw/daemon/call.py
@@ -87,15 +87,15 @@
     time_left_ms : int
         Time until the deadline that the caller sent, or the deadline of the route.
     gates_asked : int
-        Number of servers that were asked for an outlook.
+        Number of gates that were asked whether they would admit the call.
     takers : list of Candidate
-        Servers whose outlook was that they would admit the call.
+        Servers whose gates answered that they would admit the call.
     why_far : RemoteReason or None
         Why a server in another data centre was chosen.
     replacement_wait : float
         Time in seconds spent waiting while all servers were about to be replaced.
     reached_attempts, refused_attempts : int
-        Attempts that reached a server, and attempts that were refused before.
+        Failed attempts that reached a server, and those that were refused or lost before.
     is_body_streaming : bool
         Whether the rest of the request body is being sent, so that it can't be sent again.
     tried : list of str
--- a/hornbeamgw/daemon/gates.py
+++ b/hornbeamgw/daemon/gates.py
@@ -225,8 +225,8 @@
         running = [len(gate.state.running_by_attempt) for gate in self.all]
         if not any(running):
             return 0.0
-        shares = [gate.retry_ratio() for gate in self.all]
-        return sum(map(float.__mul__, shares, map(float, running))) / sum(running)
+        ratios = [gate.retry_ratio() for gate in self.all]
+        return sum(map(float.__mul__, ratios, map(float, running))) / sum(running)
 
 
 def _refused_outlook(query: frames.OutlookRequest) -> frames.Outlook:
