--- a/features/steps/recovery.py
+++ b/features/steps/recovery.py
@@ -32,7 +32,7 @@
 
 @given("three daemons of one data centre with version 3 in force")
 def three(context):
-    invariants.violations.clear()
+    invariants.violations_by_name.clear()
     fleet = context.fleet = LocalFleet(context.scenario.name)
     context.closers.append(fleet.close)
 
@@ -96,10 +96,10 @@
     blobs = [state.deltas_by_version[v] for v in (1, 2)]
     fresh = versions.VersionState()
     versions.set_floor(fresh, 1, 0.0)
-    versions.learn_deltas(fresh, blobs, versions.Origin(versions.Path.PULL, "t"), 0.0)
+    versions.learn_deltas(fresh, blobs, versions.Origin(versions.ArrivalPath.PULL, "t"), 0.0)
     control = context.fleet.daemons[1].control
     control.node.versions = fresh
-    control.node.pulls.not_before = float("inf")
+    control.node.pull_state.not_before = float("inf")
     assert fresh.snapshot.version == 2
 
 
@@ -132,7 +132,7 @@
     context.runner.run(all_in_force([context.late], version))
     state = context.late.control.versions
     assert state.floor == version and context.fleet.platform.reads == reads
-    assert not invariants.violations, invariants.violations
+    assert not invariants.violations_by_name, invariants.violations_by_name
 
 
 @then("it is not ready and says which peer it waits for")
@@ -185,5 +185,5 @@
 @then("no invariant was violated")
 def none_violated(context):
     assert context.version == 15
-    assert not invariants.violations, invariants.violations
+    assert not invariants.violations_by_name, invariants.violations_by_name
     assert all(d.control.versions.snapshot.version == 15 for d in context.living)
--- a/hornbeamgw/daemon/admin.py
+++ b/hornbeamgw/daemon/admin.py
@@ -18,9 +18,9 @@
 from hornbeamgw.core.catalogue import Name, to_file
 from hornbeamgw.core.edit import Edit, Rejection, decode_delta
 from hornbeamgw.core.fingerprint import as_text
-from hornbeamgw.core.membership import ServerState, with_each_server
+from hornbeamgw.core.membership import ServerState, split_by_server
 from hornbeamgw.core.problems import Problem, check_mapping
-from hornbeamgw.core.snapshot import match
+from hornbeamgw.core.snapshot import match_route
 from hornbeamgw.daemon import exposition
 from hornbeamgw.daemon.calls import Calls
 from hornbeamgw.daemon.committer import Committed, Committer
@@ -122,7 +122,7 @@
             *exposition.counters("control_bytes_out", meter.bytes_out),
             *exposition.counters("bytes_between_data_centres", meter.crossed),
             *exposition.counters("faults", meter.faults),
-            *exposition.counters("invariant_violations", invariants.violations),
+            *exposition.counters("invariant_violations", invariants.violations_by_name),
             exposition.gauge("version_in_force", state.snapshot.version),
             exposition.gauge("ready", versions.is_ready(state)),
             exposition.gauge("members", len(membership.reachable(self._control.view))),
@@ -171,7 +171,7 @@
                 "version": m.version,
             }
             for member in sorted(view.members_by_address.values())
-            for m in with_each_server(member)
+            for m in split_by_server(member)
         ]
         for member in members:
             if member["address"] == view.me.address:
@@ -205,7 +205,7 @@
     async def _explain(self, query: Query, body: bytes) -> tuple[int, Any]:
         snapshot = self._control.versions.snapshot
         host, method = query.get("host", ""), query.get("method", "GET")
-        route = match(snapshot, host, method, query.get("path", "/"))
+        route = match_route(snapshot, host, method, query.get("path", "/"))
         document: dict[str, Any] = {"version": snapshot.version}
         if route is None:
             known = sorted(snapshot.routes_by_host)
@@ -246,7 +246,7 @@
             "messages_in": meter.messages_in,
             "messages_out": meter.messages_out,
             "faults": meter.faults,
-            "invariants": invariants.violations,
+            "invariants": invariants.violations_by_name,
             "calls": self._calls.counts,
             "gate": self._gates.counts,
             "quarantine": self._quarantine.counts,
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -227,7 +227,7 @@
     Mutant(
         "daemons that were stopped are looked for",
         "hornbeamgw/core/membership.py",
-        (("RETURN_EXPECTED_S = 30.0", "RETURN_EXPECTED_S = 0.0"),),
+        (("RESTART_PROBE_WINDOW_S = 30.0", "RESTART_PROBE_WINDOW_S = 0.0"),),
         OUTSIDE,
     ),
     Mutant(
@@ -239,19 +239,19 @@
     Mutant(
         "a known version is passed on to a range not covered yet",
         "hornbeamgw/core/node.py",
-        (("if message.version != known or asked in node.covered:", "if True:"),),
+        (("if message.version != known or requested_range in node.covered:", "if True:"),),
         SPREADING,
     ),
     Mutant(
         "another takes the place of a silent receiver",
         "hornbeamgw/core/node.py",
-        (("if failed is None or len(avoided) > spreading.PUSH_ROUNDS:", "if True:"),),
+        (("if failed is None or len(excluded) > spreading.MAX_PUSH_RETRIES:", "if True:"),),
         SPREADING,
     ),
     Mutant(
         "a suspect refutes",
         "hornbeamgw/core/membership.py",
-        (("_order(heard) > _order(state.me)", "False"),),
+        (("_rank(received) > _rank(state.me)", "False"),),
         SPREADING,
     ),
     Mutant(
@@ -276,13 +276,13 @@
         "hornbeamgw/core/edit.py",
         (
             (
-                "if parent_of(delta) != catalogue.version or "
+                "if parent_version_of(delta) != catalogue.version or "
                 'delta["version"] <= catalogue.version:',
                 "if False:",
             ),
             ('if delta["parent_digest"] != catalogue.digest:', "if False:"),
             (
-                'if _digest_after(catalogue, items, delta["changes"]) != delta["digest"]:',
+                'if _updated_digest(catalogue, items, delta["changes"]) != delta["digest"]:',
                 "if False:",
             ),
         ),
@@ -293,8 +293,8 @@
         "hornbeamgw/core/commit.py",
         (
             (
-                "Write(HEAD_KEY, msgspec.json.encode(moved), Condition(etag=head_etag))",
-                "Write(HEAD_KEY, msgspec.json.encode(moved), None)",
+                "Write(HEAD_KEY, msgspec.json.encode(new_head), Condition(etag=head_etag))",
+                "Write(HEAD_KEY, msgspec.json.encode(new_head), None)",
             ),
             ("absent = Condition(etag=None)", "absent = None"),
         ),
@@ -305,7 +305,7 @@
         "hornbeamgw/core/node.py",
         (
             (
-                "effects += want(node, hint.version, hint.sender, moment)",
+                "effects += request_pull(node, hint.version, hint.sender, moment)",
                 "pass",
             ),
         ),
