--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -70,6 +70,8 @@
 
 log = logging.getLogger(__name__)
 
+# The gate's deadline is earlier by this ratio of the remaining time, so that its failure arrives
+# before the call expires here.
 GATE_MARGIN_RATIO = 0.05
 GATE_MARGIN_MAX_S = 0.02
 NOT_READY_RETRY_MS = 1000
