--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -30,7 +30,7 @@
 from hornbeamgw.daemon.adoption import Adoption
 from hornbeamgw.daemon.announcements import Announcements, decoders_by_name
 from hornbeamgw.daemon.attempts import Links
-from hornbeamgw.daemon.calls import Calls, Identity, View
+from hornbeamgw.daemon.calls import Calls, Identity, MeshView
 from hornbeamgw.daemon.committer import Committer
 from hornbeamgw.daemon.control import Control
 from hornbeamgw.daemon.directory import Directory
@@ -126,7 +126,7 @@
         self.links = Links(lambda: self.control.hello, self.control.fault, crossed)
         choose = balancing.chooser_of(settings.calls_balancing)
         exposed = self.rollouts.state
-        servers = Servers(self.links, choose, rng, self.gates.own_outlook, exposed)
+        servers = Servers(self.links, choose, rng, self.gates.local_outlook, exposed)
         replay_limit = round(settings.calls_replay_limit)
         identity = Identity(dialect, settings.server_service)
         bound = Bound(settings.budget_ratio, settings.budget_slack, settings.budget_window)
@@ -139,7 +139,7 @@
             rng,
             identity,
             self.budget,
-            self.gates.repeat_share,
+            self.gates.retry_ratio,
             pacer,
             self.quarantine,
             exposed,
@@ -179,9 +179,9 @@
         is_own = name == self.settings.server_service
         return is_own or not snapshot.version or name in snapshot.services
 
-    def _view(self) -> View:
+    def _view(self) -> MeshView:
         view = self.control.view
-        return View(
+        return MeshView(
             versions.is_ready(self.control.versions),
             self.control.versions.snapshot,
             view.me,
@@ -190,7 +190,7 @@
         )
 
     def _on_server_change(self) -> None:
-        self.control.update_me(**self.gates.record())
+        self.control.update_me(**self.gates.member_fields())
 
     def _publish_findings(
         self, findings: tuple[Finding, ...], kept: tuple[Finding, ...], is_urgent: bool
--- a/hornbeamgw/daemon/relay.py
+++ b/hornbeamgw/daemon/relay.py
@@ -7,7 +7,7 @@
 import h11
 
 from hornbeamgw.daemon import frames, heads
-from hornbeamgw.daemon.attempts import Attempt, Ending, Expired
+from hornbeamgw.daemon.attempts import Attempt, DaemonStopping, DeadlineExpired
 from hornbeamgw.daemon.call import Call
 from hornbeamgw.daemon.flow import Pacer
 from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, header, response_of
@@ -22,7 +22,7 @@
     """Send the rest of a request's body as the other daemon grants credit."""
     while True:
         await attempt.upload.consume(0)
-        call.started_stream = True
+        call.is_body_streaming = True
         event = await connection.next_event()
         if isinstance(event, h11.Data):
             await attempt.upload.consume(len(event.data))
@@ -51,7 +51,7 @@
     if reply.end:
         events.append(h11.EndOfMessage())
     connection.send(*events)
-    call.progress.passed_on = len(reply.body)
+    call.progress.forwarded_bytes = len(reply.body)
     if not reply.end:
         attempt.link.send(frames.Credit(attempt.number, len(reply.body)))
         remaining = answer_size(reply) - len(reply.body)
@@ -66,24 +66,24 @@
     pacer.pending_for_callers += remaining
     try:
         while True:
-            progress.wait(WaitsFor.OTHER_DAEMON, loop.time())
+            progress.record_wait(WaitsFor.OTHER_DAEMON, loop.time())
             event = await attempt.events.get()
-            if isinstance(event, Expired | Ending):
+            if isinstance(event, DeadlineExpired | DaemonStopping):
                 # A complete answer after the deadline is more useful to the caller than a truncated
                 # one.
                 continue
             if not isinstance(event, frames.Body):
                 raise ConnectionLost(f"{type(event).__name__} before the end of the answer")
             if event.data:
-                progress.wait(WaitsFor.LINK, loop.time())
+                progress.record_wait(WaitsFor.LINK, loop.time())
                 await pacer.wait_to_send(len(event.data), remaining, call.urgency)
                 new_remaining = max(len(event.data), remaining - len(event.data))
                 pacer.pending_for_callers += new_remaining - remaining
                 remaining = new_remaining
                 connection.send(h11.Data(data=event.data))
-                progress.wait(WaitsFor.CALLER, loop.time())
+                progress.record_wait(WaitsFor.CALLER, loop.time())
                 await connection.drain()
-                progress.passed_on += len(event.data)
+                progress.forwarded_bytes += len(event.data)
                 attempt.link.send(frames.Credit(attempt.number, len(event.data)))
             if event.end:
                 connection.send(h11.EndOfMessage())
