--- a/features/steps/reborn.py
+++ b/features/steps/reborn.py
@@ -20,7 +20,7 @@
 from hornbeamgw.daemon import frames, heads, plugins
 from hornbeamgw.daemon.announcements import ServerRegistry, decoders_by_name
 from hornbeamgw.daemon.attempts import Links
-from hornbeamgw.daemon.call import View
+from hornbeamgw.daemon.call import MeshView
 from hornbeamgw.daemon.directory import members_of
 from hornbeamgw.daemon.gate import Gate
 from hornbeamgw.daemon.gates import Gates
@@ -136,7 +136,7 @@
 @when('"i-1" leaves, and is announced as started at 2000')
 def left_and_started(context):
     async def leave():
-        context.gate.forget_server()
+        context.gate.remove_server()
         context.gate.announce(announcement(context.address, 2000))
         await asyncio.sleep(0.05)
 
@@ -170,7 +170,7 @@
 
 
 def load_of(context, member, generation):
-    view = View(True, EMPTY_SNAPSHOT, member, [member], generation)
+    view = MeshView(True, EMPTY_SNAPSHOT, member, [member], generation)
     (candidate,) = context.servers._candidates(view, "roster", 10.0)
     assert isinstance(candidate, Candidate)
     return candidate.load
--- a/hornbeamgw/daemon/announcements.py
+++ b/hornbeamgw/daemon/announcements.py
@@ -153,10 +153,10 @@
     def _unregister(self, address: str) -> None:
         """Remove the server at an address and drain its gate."""
         self.states_by_address[address].current = None
-        gate = self._gates.at(split_address(address)[1])
+        gate = self._gates.gate_for(split_address(address)[1])
         if gate.announcement is not None:
             gate.drain("the backend server leaves")
-            gate.forget_server()
+            gate.remove_server()
         self._save_registrations()
 
     async def adopt(self, health_path_of: Callable[[str], str | None]) -> None:
@@ -176,7 +176,7 @@
         health_path = health_path_of(stored.service)
         if health_path is None or self._has_server_at(stored.address):
             return
-        if not await self._adoption.is_there(stored, health_path):
+        if not await self._adoption.is_unchanged(stored, health_path):
             return
         if not self._has_server_at(stored.address):
             now = asyncio.get_running_loop().time()
@@ -206,9 +206,9 @@
         if registered_address is None:
             return
         registration.retire(self._state_at(registered_address), instance)
-        gate = self._gates.at(split_address(registered_address)[1])
+        gate = self._gates.gate_for(split_address(registered_address)[1])
         if gate.state.server_state is not ServerState.NONE:
-            gate.forget_server()
+            gate.remove_server()
         self._save_registrations()
 
 
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -30,7 +30,7 @@
 from hornbeamgw.daemon.adoption import Adoption
 from hornbeamgw.daemon.announcements import ServerRegistry, decoders_by_name
 from hornbeamgw.daemon.attempts import Links
-from hornbeamgw.daemon.calls import Calls, Identity, View
+from hornbeamgw.daemon.calls import Calls, Identity, MeshView
 from hornbeamgw.daemon.committer import Committer
 from hornbeamgw.daemon.control import Control
 from hornbeamgw.daemon.directory import Directory
@@ -95,14 +95,16 @@
         dialect = dialects_by_name[settings.calls_dialect]
         self.control = Control(settings, me, rng)
         self.quarantine = Quarantine(me, self._publish_findings)
-        self.control.on_news.append(self.quarantine.hear)
+        self.control.on_news.append(self.quarantine.receive)
         exposure_bound = ExposureBound(settings.rollouts_share, settings.rollouts_slack)
         self.rollouts = Rollouts(exposure_bound, self._publish_standings)
         self.control.on_news.append(self.rollouts.hear_member)
         source = sources.factories_by_name[settings.source](
             self.control, platform, settings.platform_poll, rng, settings.platform_adapter
         )
-        own_row = None if platform.rows is None else OwnRow(platform.rows, me, self.quarantine.hear)
+        own_row = (
+            None if platform.rows is None else OwnRow(platform.rows, me, self.quarantine.receive)
+        )
         self._own_row = own_row
         if own_row is not None:
             self.control.on_era.append(lambda era: own_row.note_era())
@@ -126,7 +128,7 @@
         self.links = Links(lambda: self.control.hello, self.control.fault, crossed)
         choose = balancing.chooser_of(settings.calls_balancing)
         exposure_state = self.rollouts.state
-        servers = Servers(self.links, choose, rng, self.gates.own_outlook, exposure_state)
+        servers = Servers(self.links, choose, rng, self.gates.local_outlook, exposure_state)
         replay_limit = round(settings.calls_replay_limit)
         identity = Identity(dialect, settings.server_service)
         bound = Bound(settings.budget_ratio, settings.budget_slack, settings.budget_window)
@@ -139,7 +141,7 @@
             rng,
             identity,
             self.budget,
-            self.gates.repeat_share,
+            self.gates.retry_ratio,
             pacer,
             self.quarantine,
             exposure_state,
@@ -184,9 +186,9 @@
         is_own = name == self.settings.server_service
         return is_own or not snapshot.version or name in snapshot.services
 
-    def _view(self) -> View:
+    def _view(self) -> MeshView:
         view = self.control.view
-        return View(
+        return MeshView(
             versions.is_ready(self.control.versions),
             self.control.versions.snapshot,
             view.me,
@@ -195,7 +197,7 @@
         )
 
     def _on_server_change(self) -> None:
-        self.control.update_me(**self.gates.record())
+        self.control.update_me(**self.gates.member_fields())
 
     def _publish_findings(
         self, findings: tuple[Finding, ...], stored: tuple[Finding, ...], is_urgent: bool
--- a/hornbeamgw/daemon/planned_stop.py
+++ b/hornbeamgw/daemon/planned_stop.py
@@ -10,7 +10,7 @@
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.http_server import HttpServer
 from hornbeamgw.daemon.peers import PeerServer
-from hornbeamgw.daemon.progress import MOST_TOLD
+from hornbeamgw.daemon.progress import MAX_LOGGED_CALLS
 
 log = logging.getLogger(__name__)
 
@@ -84,7 +84,7 @@
             ("caller", self._calls.unfinished(now)),
             ("daemon", self._gates.unfinished(now)),
         ):
-            for request in requests[:MOST_TOLD]:
+            for request in requests[:MAX_LOGGED_CALLS]:
                 extra = {"taken_from": taken_from, **request._asdict()}
                 log.warning("request cancelled because the daemon stopped", extra=extra)
         connections = f"{len(self._callers.connections)} connections of callers"
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -51,7 +51,7 @@
     Mutant(
         "answers go first that a daemon which stops waits for",
         "hornbeamgw/daemon/gate_attempt.py",
-        (("    attempt.urgency.hurry(asyncio.get_running_loop().time())\n", ""),),
+        (("    attempt.urgency.mark_urgent(asyncio.get_running_loop().time())\n", ""),),
         STOPPING,
     ),
     Mutant(
@@ -121,7 +121,12 @@
     Mutant(
         "a closed server runs no further request that is not idempotent",
         "hornbeamgw/daemon/gate.py",
-        (("        if not call.idempotent and self._is_closed():", "        if False:"),),
+        (
+            (
+                "        if not call.idempotent and self._is_closed_by_rollout():",
+                "        if False:",
+            ),
+        ),
         ROLLOUTS,
     ),
     Mutant(
@@ -210,7 +215,7 @@
     Mutant(
         "after a restart only the very same server is taken up",
         "hornbeamgw/daemon/adoption.py",
-        (("answer.status == HEALTHY and told == known.instance.encode()", "True"),),
+        (("answer.status == HEALTHY_STATUS and reported == known.instance.encode()", "True"),),
         ADOPTION,
     ),
     Mutant(
@@ -385,7 +390,7 @@
         "hornbeamgw/daemon/server_exchange.py",
         (
             (
-                "            await outgoing.room()\n        transfers",
+                "            await outgoing.drain()\n        transfers",
                 "        await outgoing.task\n        transfers",
             ),
         ),
