--- a/features/steps/compression.py
+++ b/features/steps/compression.py
@@ -29,7 +29,7 @@
         number, secrets.token_hex(8), "entries", "safe-2", True, 4000 - number, 2, head, b"", True,
         "route-crews", 600 - number, 600, 2, limits=Limits(10000, 0, 16),
     )  # fmt: skip
-    return codec.encode_frame(frame)[codec.LENGTH_BYTES :]
+    return codec.encode_frame(frame)[codec.LENGTH_PREFIX_BYTES :]
 
 
 @given(
@@ -40,26 +40,26 @@
     context.receiver = compression.Decompressor()
     for number in range(count):
         head, body = payload(number), os.urandom(size)
-        sent = context.sender.shrink(head) + body
-        assert context.receiver.restore(sent, MOST) == (head, body)
+        sent = context.sender.compress(head) + body
+        assert context.receiver.decompress(sent, MOST) == (head, body)
 
 
 @then("the next head of {least:d} bytes or more takes at most {most:d} bytes")
 def next_head(context, least, most):
     context.head = payload(99)
     assert len(context.head) >= least, len(context.head)
-    context.sent = context.sender.shrink(context.head)
+    context.sent = context.sender.compress(context.head)
     assert len(context.sent) <= most, len(context.sent)
 
 
 @then("heads and bodies arrive as they were sent")
 def arrive(context):
-    assert context.receiver.restore(context.sent + b"body", MOST) == (context.head, b"body")
+    assert context.receiver.decompress(context.sent + b"body", MOST) == (context.head, b"body")
 
 
 def large():
     data = zlib.compress(bytes(4 * MOST))[2:-4]
-    return len(data).to_bytes(compression.LENGTH_BYTES, "big") + data
+    return len(data).to_bytes(compression.LENGTH_PREFIX_BYTES, "big") + data
 
 
 ARRIVING = {
@@ -75,7 +75,7 @@
     context.fault = ""
     receiver = compression.Decompressor() if ARRIVING[arriving] is None else context.receiver
     try:
-        receiver.restore(data, MOST)
+        receiver.decompress(data, MOST)
     except ValueError as error:
         context.fault = str(error)
 
--- a/features/steps/findings.py
+++ b/features/steps/findings.py
@@ -220,13 +220,15 @@
 @then("a record with {count:d} findings of 16 requests comes out of a message as it went in")
 def carried(context, count):
     member = with_findings(count)
-    frame = codec.decode_frame(codec.encode_frame(frames.View([member]))[codec.LENGTH_BYTES :])
+    frame = codec.decode_frame(
+        codec.encode_frame(frames.View([member]))[codec.LENGTH_PREFIX_BYTES :]
+    )
     assert frame.members == [member], frame
 
 
 @then("a record with {count:d} findings is refused")
 def too_many(context, count):
-    payload = codec.encode_frame(frames.View([with_findings(count)]))[codec.LENGTH_BYTES :]
+    payload = codec.encode_frame(frames.View([with_findings(count)]))[codec.LENGTH_PREFIX_BYTES :]
     try:
         codec.decode_frame(payload)
     except codec.CodecError:
--- a/features/steps/hostile.py
+++ b/features/steps/hostile.py
@@ -98,7 +98,7 @@
 
 
 def framed(payload):
-    return len(payload).to_bytes(codec.LENGTH_BYTES, "big") + payload
+    return len(payload).to_bytes(codec.LENGTH_PREFIX_BYTES, "big") + payload
 
 
 PAYLOADS = {
--- a/hornbeamgw/daemon/admin.py
+++ b/hornbeamgw/daemon/admin.py
@@ -28,7 +28,12 @@
 from hornbeamgw.daemon.gate import Announcement
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.http1 import HttpConnection
-from hornbeamgw.daemon.http_server import ADMIN_BODY_LIMIT, json_response, read_body, send_response
+from hornbeamgw.daemon.http_server import (
+    MAX_ADMIN_BODY_BYTES,
+    json_response,
+    read_body,
+    send_response,
+)
 from hornbeamgw.daemon.quarantine import Quarantine
 from hornbeamgw.daemon.reader import Reader
 from hornbeamgw.daemon.rollouts import Rollouts
@@ -91,7 +96,7 @@
 
     async def on_request(self, connection: HttpConnection, request: h11.Request) -> None:
         """Answer one request."""
-        body = await read_body(connection, ADMIN_BODY_LIMIT)
+        body = await read_body(connection, MAX_ADMIN_BODY_BYTES)
         url = urlsplit(request.target.decode("latin-1"))
         if url.path == "/metrics":
             send_response(connection, 200, [(b"content-type", b"text/plain")], self.metrics())
--- a/hornbeamgw/daemon/attempts.py
+++ b/hornbeamgw/daemon/attempts.py
@@ -13,7 +13,7 @@
 from hornbeamgw.core.verdict import Failure, Reason, may_have_run, not_run
 from hornbeamgw.daemon import frames
 from hornbeamgw.daemon.flow import Mailbox, Window
-from hornbeamgw.daemon.link import DOUBTED_AFTER_S, Link, LinkLost, dial, exchange
+from hornbeamgw.daemon.link import SUSPECT_AFTER_IDLE_S, Link, LinkLost, dial, exchange
 from hornbeamgw.daemon.outgoing import BUFFER_BYTES
 from hornbeamgw.daemon.outlooks import Outlooks
 
@@ -144,7 +144,7 @@
         attempt = Attempt(self._next_number, link, load, now, idempotent, server)
         self._attempts_by_number[attempt.number] = attempt
         if load.outstanding == 0:
-            link.expect(now)
+            link.restart_idle_timer(now)
         load.outstanding += 1
         return attempt
 
@@ -188,8 +188,8 @@
             if link.lost:
                 continue
             if link in waiting:
-                link.check(now)
-                if now - link.received_at >= DOUBTED_AFTER_S:
+                link.check_liveness(now)
+                if now - link.received_at >= SUSPECT_AFTER_IDLE_S:
                     self._doubt(link, now)
 
     def _doubt(self, link: Link, now: float) -> None:
--- a/hornbeamgw/daemon/call.py
+++ b/hornbeamgw/daemon/call.py
@@ -21,7 +21,7 @@
 from hornbeamgw.daemon import frames, heads
 from hornbeamgw.daemon.attempts import Attempt
 from hornbeamgw.daemon.flow import Urgency
-from hornbeamgw.daemon.http1 import Headers, end_to_end, header
+from hornbeamgw.daemon.http1 import Headers, end_to_end_headers, header
 from hornbeamgw.daemon.http_server import BadRequest
 from hornbeamgw.daemon.progress import Progress
 
@@ -141,7 +141,7 @@
     """Return the headers of a request for the backend server, but for those of each attempt."""
     dialect = identity.dialect
     replaced = dialect.set_by_daemons | {dialect.call_id, b"expect"}
-    kept = [h for h in end_to_end(request.headers) if h[0] not in replaced]
+    kept = [h for h in end_to_end_headers(request.headers) if h[0] not in replaced]
     if dialect.caller_service:
         kept.append((dialect.caller_service, identity.caller_service.encode()))
     return kept
--- a/hornbeamgw/daemon/codec.py
+++ b/hornbeamgw/daemon/codec.py
@@ -20,14 +20,14 @@
 # Not by importlib.resources, which brings 14 modules that a daemon has no other use for.
 schema = capnp.load(str(Path(__file__).parents[1] / "schema" / "messages.capnp"))
 
-MAX_FRAME = 16 * 1024 * 1024
-LENGTH_BYTES = 4
+MAX_FRAME_BYTES = 16 * 1024 * 1024
+LENGTH_PREFIX_BYTES = 4
 # A change is passed on some eight times, to one member after the other. Restarts that follow one
 # another leave a few dozen such changes at a time; a record takes 1 KB.
-KEPT_RECORDS = 64
+ENCODED_MEMBER_CACHE_SIZE = 64
 
 # Whether a record of the member at an address, in this order, would change anything.
-IsNews = Callable[[str, tuple[int, int, int]], bool]
+IsNewer = Callable[[str, tuple[int, int, int]], bool]
 
 
 _REASONS = frozenset(Reason)
@@ -61,17 +61,17 @@
             _write_further_server(servers[index], server)
     if member.standings:
         standings = out.init("standings", len(member.standings))
-        for index, standing in enumerate(member.standings):
-            _write_standing(standings[index], standing)
+        for index, rollout_status in enumerate(member.standings):
+            _write_rollout_status(standings[index], rollout_status)
 
 
-def _write_standing(out: Any, standing: RolloutStatus) -> None:
-    out.service, out.target, out.number = standing.service, standing.target, standing.number
-    out.phase, out.step, out.lengthMs = int(standing.phase), standing.step, standing.length_ms
-    out.closing = int(standing.closing)
+def _write_rollout_status(out: Any, status: RolloutStatus) -> None:
+    out.service, out.target, out.number = status.service, status.target, status.number
+    out.phase, out.step, out.lengthMs = int(status.phase), status.step, status.length_ms
+    out.closing = int(status.closing)
 
 
-def _read_standing(raw: Any) -> RolloutStatus:
+def _read_rollout_status(raw: Any) -> RolloutStatus:
     phase = Phase(raw.phase)
     closing = Closing(min(raw.closing, Closing.CLOSED))
     return RolloutStatus(
@@ -101,7 +101,7 @@
     return Finding(raw.number, FindingKind(raw.kind), tuple(raw.fingerprints))
 
 
-def reader_of(struct: Any, *names: str) -> Callable[[Any], list[Any]]:
+def field_reader(struct: Any, *names: str) -> Callable[[Any], list[Any]]:
     """Return a function that reads some fields of a message, in this order.
 
     The fields are looked up once: by its name alone each takes pycapnp four times as long.
@@ -115,10 +115,10 @@
     return read
 
 
-_read_place = reader_of(
+_read_identity = field_reader(
     schema.Member, "address", "dataCentre", "region", "incarnation", "sequence", "status"
 )
-_read_first_server = reader_of(
+_read_server_fields = field_reader(
     schema.Member,
     "service",
     "serverState",
@@ -128,8 +128,8 @@
     "bandwidth",
     "serverStartedMs",
 )
-_read_software = reader_of(schema.Member, "software", "server")
-_lists_of_member = tuple(
+_read_software = field_reader(schema.Member, "software", "server")
+_member_list_fields = tuple(
     schema.Member.schema.fields[name] for name in ("findings", "furtherServers", "standings")
 )
 
@@ -137,46 +137,46 @@
 def _read_lists(raw: Any) -> list[Sequence[Any]]:
     """Return what a record lists; to look for a list takes less than to read an empty one."""
     has, get = raw._has_by_field, raw._get_by_field
-    return [get(field) if has(field) else () for field in _lists_of_member]
+    return [get(field) if has(field) else () for field in _member_list_fields]
 
 
 def read_member(raw: Any) -> Member:
     """Return the record of a member in a message; raise ValueError where it is none."""
-    return _read_rest(raw, _read_place(raw))
+    return _read_remaining_fields(raw, _read_identity(raw))
 
 
-def read_news(records: Any, is_news: IsNews) -> list[Member]:
+def read_newer_members(records: Any, is_newer: IsNewer) -> list[Member]:
     """Return the records that are news, read whole; raise ValueError where one of them is none.
 
     While members restart, most of what gossip brings was heard before.
     """
-    news = []
+    newer = []
     for raw in records:
-        place = _read_place(raw)
-        address, _, _, *order = place
-        if is_news(address, tuple(order)):
-            news.append(_read_rest(raw, place))
-    return news
+        identity = _read_identity(raw)
+        address, _, _, *order = identity
+        if is_newer(address, tuple(order)):
+            newer.append(_read_remaining_fields(raw, identity))
+    return newer
 
 
-def _read_rest(raw: Any, read_already: Sequence[Any]) -> Member:
-    *place, status = read_already
-    service, state, *more = _read_first_server(raw)
+def _read_remaining_fields(raw: Any, identity_and_status: Sequence[Any]) -> Member:
+    *identity, status = identity_and_status
+    service, state, *other_fields = _read_server_fields(raw)
     findings, further_servers, standings = _read_lists(raw)
     if len(findings) > MAX_FINDINGS:
         raise ValueError(f"{len(findings)} findings, expected {MAX_FINDINGS} at most")
     if len(standings) > MAX_ROLLOUT_STATUSES:
         raise ValueError(f"{len(standings)} standings, expected {MAX_ROLLOUT_STATUSES} at most")
     values = (
-        *place,
+        *identity,
         Status(status),
         service,
         ServerState(state),
-        *more,
+        *other_fields,
         tuple([_read_finding(finding) for finding in findings]),
         *_read_software(raw),
         tuple([_read_further_server(server) for server in further_servers]),
-        tuple([_read_standing(standing) for standing in standings]),
+        tuple([_read_rollout_status(standing) for standing in standings]),
     )
     return Member(*values)
 
@@ -187,8 +187,8 @@
         _write_member(out[index], member)
 
 
-@functools.lru_cache(maxsize=KEPT_RECORDS)
-def written_member(member: Member) -> Any:
+@functools.lru_cache(maxsize=ENCODED_MEMBER_CACHE_SIZE)
+def encoded_member(member: Member) -> Any:
     """Return a record as a message, from which it is copied into others."""
     out = schema.Member.new_message()
     _write_member(out, member)
@@ -202,7 +202,7 @@
 
 
 def _write_heartbeat(out: Any, f: frames.Heartbeat) -> None:
-    out.heartbeat = f.asks
+    out.heartbeat = f.expects_reply
 
 
 def _write_call(out: Any, f: frames.Call) -> None:
@@ -218,21 +218,26 @@
     call.body = f.body
     call.end = f.end
     call.route = f.route
-    call.objectiveMs = f.objective_ms
-    call.aimMs = f.aim_ms
+    call.objectiveMs = f.remaining_objective_ms
+    call.aimMs = f.latency_objective_ms
     call.priority = f.priority
-    call.cameBack = f.came_back
+    call.cameBack = f.is_retry
     call.repeat = f.repeat
     call.fingerprint = f.fingerprint
     call.server = f.server
-    call.typicalMs = f.typical_ms
+    call.typicalMs = f.typical_service_ms
     limits = call.init("limits")
     limits.slots, limits.reserved, limits.queue = f.limits
 
 
 def _write_body(out: Any, f: frames.Body) -> None:
     body = out.init("body")
-    body.attempt, body.data, body.end, body.leaving = f.attempt, f.data, f.end, f.leaving
+    body.attempt, body.data, body.end, body.leaving = (
+        f.attempt,
+        f.data,
+        f.end,
+        f.leaving,
+    )
 
 
 def _write_reply(out: Any, f: frames.Reply) -> None:
@@ -288,7 +293,7 @@
         blobs[index] = blob
 
 
-def _write_whole(out: Any, f: frames.WholeCatalogue) -> None:
+def _write_whole_catalogue(out: Any, f: frames.WholeCatalogue) -> None:
     out.snapshot = f.blob
 
 
@@ -316,10 +321,10 @@
     request.entry = f.entry
     request.route = f.route
     request.deadlineMs = f.deadline_ms
-    request.objectiveMs = f.objective_ms
-    request.aimMs = f.aim_ms
+    request.objectiveMs = f.remaining_objective_ms
+    request.aimMs = f.latency_objective_ms
     request.priority = f.priority
-    request.cameBack = f.came_back
+    request.cameBack = f.is_retry
     request.server = f.server
 
 
@@ -345,7 +350,7 @@
     frames.Resolution: _write_resolution,
     frames.Pull: _write_pull,
     frames.Deltas: _write_deltas,
-    frames.WholeCatalogue: _write_whole,
+    frames.WholeCatalogue: _write_whole_catalogue,
     frames.ViewRequest: _write_view_request,
     frames.View: _write_view,
     frames.FloorRequest: _write_floor_request,
@@ -355,7 +360,7 @@
 }
 
 
-_read_call_fields = reader_of(
+_read_call_fields = field_reader(
     schema.Call,
     "attempt",
     "callId",
@@ -378,8 +383,8 @@
     "server",
     "typicalMs",
 )
-_read_limits = reader_of(schema.Limits, "slots", "reserved", "queue")
-_read_refusal_fields = reader_of(
+_read_limits = field_reader(schema.Limits, "slots", "reserved", "queue")
+_read_refusal_fields = field_reader(
     schema.Refusal,
     "attempt",
     "mayHaveRun",
@@ -393,24 +398,26 @@
 
 
 def _read_call(raw: Any) -> frames.Call:
-    *first, limits, fingerprint, server, typical_ms = _read_call_fields(raw)
-    values = (*first, Limits(*_read_limits(limits)), fingerprint, server, typical_ms)
+    *first, limits, fingerprint, server, typical_service_ms = _read_call_fields(raw)
+    values = (*first, Limits(*_read_limits(limits)), fingerprint, server, typical_service_ms)
     return frames.Call(*values)
 
 
 def _read_refusal(raw: Any) -> frames.Refusal:
-    attempt, may_have_run, told, detail, retry_after_ms, reached, *load = _read_refusal_fields(raw)
+    attempt, may_have_run, reason_name, detail, retry_after_ms, reached, *load = (
+        _read_refusal_fields(raw)
+    )
     verdict = Verdict.MAY_HAVE_RUN if may_have_run else Verdict.NOT_RUN
     # A newer daemon may have a reason that this one does not know; the verdict says what matters.
-    reason = Reason(told) if told in _REASONS else Reason.BACKEND_REFUSED
+    reason = Reason(reason_name) if reason_name in _REASONS else Reason.BACKEND_REFUSED
     return frames.Refusal(attempt, Failure(verdict, reason, detail, retry_after_ms, reached), *load)
 
 
 def _frame_reader(
-    make: Callable[..., frames.Frame], struct: Any, *names: str
+    frame_type: Callable[..., frames.Frame], struct: Any, *names: str
 ) -> Callable[[Any], frames.Frame]:
-    read = reader_of(struct, *names)
-    return lambda raw: make(*read(raw))
+    read = field_reader(struct, *names)
+    return lambda raw: frame_type(*read(raw))
 
 
 _readers_by_kind: dict[str, Callable[[Any], frames.Frame]] = {
@@ -475,12 +482,12 @@
     message = schema.Frame.new_message()
     _writers_by_type[type(frame)](message, frame)
     payload: bytes = message.to_bytes()
-    return framed(payload)
+    return add_length_prefix(payload)
 
 
-def framed(payload: bytes) -> bytes:
+def add_length_prefix(payload: bytes) -> bytes:
     """Return a payload with its length before it."""
-    return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
+    return len(payload).to_bytes(LENGTH_PREFIX_BYTES, "big") + payload
 
 
 def decode_frame(payload: bytes) -> frames.Frame:
--- a/hornbeamgw/daemon/compression.py
+++ b/hornbeamgw/daemon/compression.py
@@ -13,10 +13,10 @@
 # with 2 KB they take 12 and 9, but heads of several routes 100 to 130 bytes in place of 60 to 90.
 WINDOW_BITS = -13
 MEMORY_LEVEL = 5
-LEVEL = 1
-LENGTH_BYTES = 4
+COMPRESSION_LEVEL = 1
+LENGTH_PREFIX_BYTES = 4
 # Ends each flush of a stream, and is left out.
-FLUSH_END = b"\x00\x00\xff\xff"
+SYNC_FLUSH_MARKER = b"\x00\x00\xff\xff"
 
 
 class Compressor:
@@ -24,13 +24,13 @@
 
     def __init__(self) -> None:
         """Start without anything to refer to."""
-        self._stream = zlib.compressobj(LEVEL, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL)
+        self._stream = zlib.compressobj(COMPRESSION_LEVEL, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL)
 
-    def shrink(self, payload: bytes) -> bytes:
+    def compress(self, payload: bytes) -> bytes:
         """Return a payload as the other end of the stream reads it, with its length before it."""
         data = self._stream.compress(payload) + self._stream.flush(zlib.Z_SYNC_FLUSH)
-        data = data.removesuffix(FLUSH_END)
-        return len(data).to_bytes(LENGTH_BYTES, "big") + data
+        data = data.removesuffix(SYNC_FLUSH_MARKER)
+        return len(data).to_bytes(LENGTH_PREFIX_BYTES, "big") + data
 
 
 class Decompressor:
@@ -40,15 +40,17 @@
         """Start without anything to refer to."""
         self._stream = zlib.decompressobj(WINDOW_BITS)
 
-    def restore(self, data: bytes, most: int) -> tuple[bytes, bytes]:
+    def decompress(self, data: bytes, max_bytes: int) -> tuple[bytes, bytes]:
         """Return a payload of this many bytes at most, and what follows it; raise ValueError."""
-        end = LENGTH_BYTES + int.from_bytes(data[:LENGTH_BYTES], "big")
-        if not LENGTH_BYTES < end <= len(data):
+        end = LENGTH_PREFIX_BYTES + int.from_bytes(data[:LENGTH_PREFIX_BYTES], "big")
+        if not LENGTH_PREFIX_BYTES < end <= len(data):
             raise ValueError(f"a payload that ends at byte {end} of {len(data)}")
         try:
-            payload = self._stream.decompress(data[LENGTH_BYTES:end] + FLUSH_END, most)
+            payload = self._stream.decompress(
+                data[LENGTH_PREFIX_BYTES:end] + SYNC_FLUSH_MARKER, max_bytes
+            )
         except zlib.error as error:
             raise ValueError(f"not compressed as expected: {error}") from error
         if self._stream.unconsumed_tail:
-            raise ValueError(f"a payload of more than {most} bytes")
+            raise ValueError(f"a payload of more than {max_bytes} bytes")
         return payload, data[end:]
--- a/hornbeamgw/daemon/datagrams.py
+++ b/hornbeamgw/daemon/datagrams.py
@@ -11,13 +11,20 @@
 from hornbeamgw.core.node import Envelope, Message
 from hornbeamgw.core.spreading import Have, Push, Scope
 from hornbeamgw.core.tally import Count, Tally
-from hornbeamgw.daemon.codec import CodecError, IsNews, read_news, reader_of, schema, written_member
+from hornbeamgw.daemon.codec import (
+    CodecError,
+    IsNewer,
+    encoded_member,
+    field_reader,
+    read_newer_members,
+    schema,
+)
 
-_read_head = reader_of(
+_read_envelope_fields = field_reader(
     schema.Datagram, "fleet", "sender", "version", "digest", "viewHash", "era", "gossip"
 )
 
-MOST_UNSAFE = 0xFFFF  # a tally carries it in 16 bits
+MAX_UNSAFE_COUNT = 0xFFFF  # a tally carries it in 16 bits
 
 
 def fleet_hash(fleet: str) -> int:
@@ -33,7 +40,7 @@
 
 def _write_tally(out: Any, tally: Tally) -> None:
     out.service, out.server, out.software = tally.service, tally.server, tally.software
-    out.closedStep, out.unsafe = tally.closed_step, min(tally.unsafe, MOST_UNSAFE)
+    out.closedStep, out.unsafe = tally.closed_step, min(tally.unsafe, MAX_UNSAFE_COUNT)
     counts = out.init("counts", len(tally.counts_by_route))
     for index, (route, count) in enumerate(tally.counts_by_route.items()):
         counts[index].route, counts[index].answers, counts[index].bad = route, *count
@@ -41,8 +48,8 @@
 
 def _read_tally(raw: Any) -> Tally:
     counts_by_route = {count.route: Count(count.answers, count.bad) for count in raw.counts}
-    closing = raw.closedStep, raw.unsafe
-    return Tally(raw.service, raw.server, raw.software, counts_by_route, *closing)
+    closed_step_and_unsafe = raw.closedStep, raw.unsafe
+    return Tally(raw.service, raw.server, raw.software, counts_by_route, *closed_step_and_unsafe)
 
 
 def _write_message(out: Any, message: Message) -> None:
@@ -73,7 +80,7 @@
     if datagram.gossip:
         gossip = out.init("gossip", len(datagram.gossip))
         for index, member in enumerate(datagram.gossip):
-            gossip[index] = written_member(member)
+            gossip[index] = encoded_member(member)
     _write_message(out, datagram.message)
     packed: bytes = out.to_bytes_packed()
     return packed
@@ -95,7 +102,7 @@
 
 
 def decode_datagram(
-    fleet: int, payload: bytes, is_news: IsNews = lambda address, order: True
+    fleet: int, payload: bytes, is_newer: IsNewer = lambda address, order: True
 ) -> Envelope:
     """Return the datagram in a payload, of its gossip only what is news.
 
@@ -103,10 +110,10 @@
     """
     try:
         raw = schema.Datagram.from_bytes_packed(payload)
-        from_fleet, sender, version, digest, view_hash, era, members = _read_head(raw)
+        from_fleet, sender, version, digest, view_hash, era, members = _read_envelope_fields(raw)
         if from_fleet != fleet:
             raise CodecError("a datagram of another fleet")
-        gossip = read_news(members, is_news)
+        gossip = read_newer_members(members, is_newer)
         return Envelope(sender, version, digest, view_hash, gossip, _read_message(raw), era)
     except CodecError:
         raise
--- a/hornbeamgw/daemon/frames.py
+++ b/hornbeamgw/daemon/frames.py
@@ -26,7 +26,7 @@
 class Heartbeat(NamedTuple):
     """Show that a link is alive; one that asks is answered by one that does not."""
 
-    asks: bool
+    expects_reply: bool
 
 
 class Call(NamedTuple):
@@ -50,15 +50,15 @@
     body: bytes
     end: bool
     route: str = ""
-    objective_ms: int = NO_OBJECTIVE_MS
-    aim_ms: int = 1000
+    remaining_objective_ms: int = NO_OBJECTIVE_MS
+    latency_objective_ms: int = 1000
     priority: int = 0
-    came_back: bool = False
+    is_retry: bool = False
     repeat: bool = False
     limits: Limits = NO_LIMITS
     fingerprint: int = fingerprint.UNKNOWN
     server: int = 0
-    typical_ms: int = 0
+    typical_service_ms: int = 0
 
 
 class Body(NamedTuple):
@@ -132,10 +132,10 @@
     entry: str
     route: str
     deadline_ms: int
-    objective_ms: int
-    aim_ms: int
+    remaining_objective_ms: int
+    latency_objective_ms: int
     priority: int
-    came_back: bool
+    is_retry: bool
     server: int = 0
 
 
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -438,7 +438,9 @@
             if attempt.task is None or attempt.is_tallied or attempt.answered_at:
                 continue
             is_cold = attempt.started_at < self.state.warm_at
-            limit = tally.slow_threshold(call.typical_ms / 1000, call.aim_ms / 1000, is_cold)
+            limit = tally.slow_threshold(
+                call.typical_service_ms / 1000, call.latency_objective_ms / 1000, is_cold
+            )
             if now - attempt.started_at > limit:
                 attempt.is_tallied = True
                 tally.record(self.counts_by_route, call.route, True)
@@ -448,9 +450,9 @@
         if attempt.is_tallied:
             return
         answered_at = attempt.answered_at or now
-        held, typical = answered_at - attempt.started_at, attempt.call.typical_ms / 1000
+        held, typical = answered_at - attempt.started_at, attempt.call.typical_service_ms / 1000
         is_cold = attempt.started_at < self.state.warm_at
-        aim = attempt.call.aim_ms / 1000
+        aim = attempt.call.latency_objective_ms / 1000
         bad = tally.is_bad(
             tally.AttemptOutcome(failure, attempt.status, held, typical, aim, is_cold)
         )
--- a/hornbeamgw/daemon/gate_attempt.py
+++ b/hornbeamgw/daemon/gate_attempt.py
@@ -71,10 +71,10 @@
         limits,
         now + asked.deadline_ms / 1000,
         asked.route,
-        now + asked.objective_ms / 1000,
-        asked.aim_ms / 1000,
+        now + asked.remaining_objective_ms / 1000,
+        asked.latency_objective_ms / 1000,
         asked.priority,
-        asked.came_back,
+        asked.is_retry,
         transfer,
         now,
     )
@@ -102,7 +102,7 @@
     call = attempt.call
     told = {"reason": failure.reason, "verdict": failure.verdict, "wait_ms": wait_ms}
     told |= {"running": len(state.running_by_attempt), "waiting": len(state.queue)}
-    told |= {"objective_ms": call.objective_ms, "deadline_ms": call.deadline_ms}
+    told |= {"objective_ms": call.remaining_objective_ms, "deadline_ms": call.deadline_ms}
     log.info("attempt refused", extra={"call_id": call.call_id, "route": call.route, **told})
 
 
--- a/hornbeamgw/daemon/http1.py
+++ b/hornbeamgw/daemon/http1.py
@@ -13,8 +13,8 @@
 
 from hornbeamgw.core.options import split_address
 
-MAX_HEAD = 16 * 1024
-READ_AHEAD = 256 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_UNREAD_BYTES = 256 * 1024
 # An answer that keeps arriving may take this many timeouts: 1 MB takes 2.7 s at 3 Mbit/s.
 SLOW_BODY_FACTOR = 4
 HOP_BY_HOP = frozenset(
@@ -50,17 +50,17 @@
         on_open: Callable[[HttpConnection], None] | None = None,
     ) -> None:
         """Take the role of a server or of a client."""
-        self.http = h11.Connection(role, max_incomplete_event_size=MAX_HEAD)
+        self.http = h11.Connection(role, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.transport: asyncio.Transport | None = None
         self.lost = False
         self.method = b""
         self.on_lost: Callable[[], None] | None = None
         self._on_open = on_open
-        self._waiter: asyncio.Future[None] | None = None
+        self._input_waiter: asyncio.Future[None] | None = None
         self._writable: asyncio.Future[None] | None = None
-        self._unread = 0
+        self._unread_bytes = 0
         self._paused = False
-        self._drops_input = False
+        self._discards_input = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport and report the connection."""
@@ -70,11 +70,15 @@
 
     def data_received(self, data: bytes) -> None:
         """Hand bytes to h11; stop reading where nobody takes them."""
-        if self._drops_input:
+        if self._discards_input:
             return
         self.http.receive_data(data)
-        self._unread += len(data)
-        if self._unread > READ_AHEAD and not self._paused and self.transport is not None:
+        self._unread_bytes += len(data)
+        if (
+            self._unread_bytes > MAX_UNREAD_BYTES
+            and not self._paused
+            and self.transport is not None
+        ):
             self._paused = True
             self.transport.pause_reading()
         self._wake()
@@ -118,14 +122,14 @@
         self._writable = None
 
     def _wake(self) -> None:
-        if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_result(None)
+        if self._input_waiter is not None and not self._input_waiter.done():
+            self._input_waiter.set_result(None)
 
     def poll(self) -> Event | None:
         """Return the next event that has arrived, or None; raise h11.RemoteProtocolError."""
         event = self.http.next_event()
         if event is h11.NEED_DATA:
-            self._unread = 0
+            self._unread_bytes = 0
             if self._paused and self.transport is not None and not self.lost:
                 self._paused = False
                 self.transport.resume_reading()
@@ -144,13 +148,13 @@
         """Wait until something arrives; raise ConnectionLost."""
         if self.lost:
             raise ConnectionLost
-        self._waiter = asyncio.get_running_loop().create_future()
-        await self._waiter
+        self._input_waiter = asyncio.get_running_loop().create_future()
+        await self._input_waiter
 
-    def expect_again(self, *sent: h11.Event) -> None:
+    def expect_another_response(self, *sent: h11.Event) -> None:
         """Take what follows an answer as the one to the request that was sent last."""
         rest, closed = self.http.trailing_data
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
+        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         for event in sent:
             self.http.send(event)
         if rest:
@@ -175,7 +179,7 @@
         if self.lost:
             raise ConnectionLost
 
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Return the bytes that were written and have not left this process."""
         if self.transport is None or self.lost:
             return 0
@@ -188,7 +192,7 @@
         """
         if self.transport is None or self.lost or self.transport.is_closing():
             return
-        self._drops_input = True
+        self._discards_input = True
         if self._paused:
             self.transport.resume_reading()
         self.transport.write_eof()
@@ -208,7 +212,7 @@
             self.transport.abort()
 
 
-def response_of(status: int, headers: Headers) -> h11.Response:
+def response_head(status: int, headers: Headers) -> h11.Response:
     """Return the head of an answer with the usual phrase for its status."""
     phrase = PHRASES_BY_STATUS.get(status, b"")
     return h11.Response(status_code=status, headers=headers, reason=phrase)
@@ -222,7 +226,7 @@
     return connection
 
 
-def plain(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
+def normalise_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
     """Return headers as a list, names in lower case.
 
     Those of h11 are a sequence that gives each pair by a call of its own; a request's are gone
@@ -236,19 +240,19 @@
     return [(name.lower(), value) for name, value in raw_items()]
 
 
-def end_to_end(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
+def end_to_end_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
     """Return the headers that a proxy passes on."""
-    known = plain(headers)
-    listed: set[bytes] = set()
-    for name, value in known:
+    normalised = normalise_headers(headers)
+    connection_options: set[bytes] = set()
+    for name, value in normalised:
         if name == b"connection":
-            listed |= {token.strip().lower() for token in value.split(b",")}
-    return [h for h in known if h[0] not in HOP_BY_HOP and h[0] not in listed]
+            connection_options |= {token.strip().lower() for token in value.split(b",")}
+    return [h for h in normalised if h[0] not in HOP_BY_HOP and h[0] not in connection_options]
 
 
 def header(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> bytes | None:
     """Return the first value of a header, by its lower-case name."""
-    for key, value in plain(headers):
+    for key, value in normalise_headers(headers):
         if key == name:
             return value
     return None
@@ -281,7 +285,7 @@
     while True:
         event = await connection.next_event()
         if isinstance(event, h11.Response):
-            status, reply_headers = event.status_code, plain(event.headers)
+            status, reply_headers = event.status_code, normalise_headers(event.headers)
         elif isinstance(event, h11.Data):
             chunks.append(bytes(event.data))
             on_part()
@@ -313,26 +317,28 @@
         The timeout (s) bounds the wait for the first part of a body and for each one that follows.
         """
         loop = asyncio.get_running_loop()
-        latest = loop.time() + SLOW_BODY_FACTOR * self.timeout
+        latest_end = loop.time() + SLOW_BODY_FACTOR * self.timeout
         async with asyncio.timeout(self.timeout if timeout is None else timeout) as limit:
 
             def on_part() -> None:
-                due = min(latest, loop.time() + self.timeout)
+                due = min(latest_end, loop.time() + self.timeout)
                 limit.reschedule(max(due, limit.when() or due))
 
-            connection = await self._connection()
+            connection = await self._acquire()
             try:
-                wanted = list(headers or [])
-                if header(wanted, b"host") is None:
-                    wanted.insert(0, (b"host", self.address.encode()))
-                response = await _exchange(connection, method, target, wanted, body, on_part)
+                request_headers = list(headers or [])
+                if header(request_headers, b"host") is None:
+                    request_headers.insert(0, (b"host", self.address.encode()))
+                response = await _exchange(
+                    connection, method, target, request_headers, body, on_part
+                )
             except BaseException:
                 connection.abort()
                 raise
-        self._keep(connection)
+        self._release(connection)
         return response
 
-    async def _connection(self) -> HttpConnection:
+    async def _acquire(self) -> HttpConnection:
         while self._idle:
             connection = self._idle.pop()
             if not connection.lost and connection.poll() is None:
@@ -340,7 +346,7 @@
             connection.close()
         return await dial(self.address)
 
-    def _keep(self, connection: HttpConnection) -> None:
+    def _release(self, connection: HttpConnection) -> None:
         if connection.http.our_state is h11.DONE and connection.http.their_state is h11.DONE:
             connection.http.start_next_cycle()
             self._idle.append(connection)
--- a/hornbeamgw/daemon/http_server.py
+++ b/hornbeamgw/daemon/http_server.py
@@ -12,12 +12,12 @@
 
 from hornbeamgw.core.options import split_address
 from hornbeamgw.daemon.http1 import (
-    MAX_HEAD,
+    MAX_HEAD_BYTES,
     ConnectionLost,
     Headers,
     HttpConnection,
-    plain,
-    response_of,
+    normalise_headers,
+    response_head,
 )
 
 log = logging.getLogger(__name__)
@@ -25,15 +25,15 @@
 OnRequest = Callable[[HttpConnection, h11.Request], Awaitable[None]]
 HTTP_VERSIONS = (b"1.0", b"1.1")
 # A caller has so long to read an answer that came before its request was read.
-LINGER_S = 2.0
-ADMIN_BODY_LIMIT = 8 * 1024 * 1024
+LINGER_TIMEOUT_S = 2.0
+MAX_ADMIN_BODY_BYTES = 8 * 1024 * 1024
 
 
 class Timeouts(NamedTuple):
     """Bound how long a head may take and a connection may idle (s)."""
 
-    head: float = 5.0
-    idle: float = 60.0
+    head_s: float = 5.0
+    idle_s: float = 60.0
 
 
 class BadRequest(Exception):
@@ -49,10 +49,10 @@
     connection: HttpConnection, status: int, headers: Headers, body: bytes, close: bool = False
 ) -> None:
     """Send a whole answer; raise ConnectionLost."""
-    framed = [*headers, (b"content-length", str(len(body)).encode())]
+    framed_headers = [*headers, (b"content-length", str(len(body)).encode())]
     if close:
-        framed.append((b"connection", b"close"))
-    events: list[h11.Event] = [response_of(status, framed)]
+        framed_headers.append((b"connection", b"close"))
+    events: list[h11.Event] = [response_head(status, framed_headers)]
     if body and connection.method != b"HEAD":
         events.append(h11.Data(data=body))
     connection.send(*events, h11.EndOfMessage())
@@ -75,20 +75,20 @@
 
 def _check_head_size(request: h11.Request) -> None:
     size = len(request.target) + sum(
-        len(name) + len(value) for name, value in plain(request.headers)
+        len(name) + len(value) for name, value in normalise_headers(request.headers)
     )
-    if size > MAX_HEAD:
-        raise BadRequest(431, f"a head of {size} bytes, expected {MAX_HEAD} at most")
+    if size > MAX_HEAD_BYTES:
+        raise BadRequest(431, f"a head of {size} bytes, expected {MAX_HEAD_BYTES} at most")
 
 
 async def _next_request(connection: HttpConnection, timeouts: Timeouts) -> h11.Request | None:
     event = connection.poll()
     if event is None and not connection.has_input():
-        async with asyncio.timeout(timeouts.idle):
+        async with asyncio.timeout(timeouts.idle_s):
             event = await _first_input(connection)
     if event is None:
         try:
-            async with asyncio.timeout(timeouts.head):
+            async with asyncio.timeout(timeouts.head_s):
                 event = await connection.next_event()
         except TimeoutError:
             raise BadRequest(408, "the request's head did not arrive in time") from None
@@ -135,7 +135,7 @@
                 break
             await on_request(connection, request)
             if connection.http.their_state is h11.SEND_BODY:
-                await connection.linger(LINGER_S)
+                await connection.linger(LINGER_TIMEOUT_S)
             if connection.http.our_state is not h11.DONE:
                 break
             if connection.http.their_state is not h11.DONE:
@@ -146,7 +146,7 @@
     except BadRequest as error:
         _refuse(connection, error.status, str(error))
         if connection.http.their_state is h11.SEND_BODY:
-            await connection.linger(LINGER_S)
+            await connection.linger(LINGER_TIMEOUT_S)
     except (ConnectionLost, TimeoutError, h11.LocalProtocolError):
         pass
     except Exception:
@@ -172,25 +172,25 @@
         host, port = split_address(address)
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: HttpConnection(h11.SERVER, self._opened), host, port, backlog=1024
+            lambda: HttpConnection(h11.SERVER, self._on_open), host, port, backlog=1024
         )
         name = self._server.sockets[0].getsockname()
         return f"{name[0]}:{name[1]}"
 
-    def _opened(self, connection: HttpConnection) -> None:
+    def _on_open(self, connection: HttpConnection) -> None:
         task = asyncio.create_task(run_connection(connection, self._on_request, self._timeouts))
         self.connections[connection] = task
-        task.add_done_callback(lambda _: self._served(connection))
+        task.add_done_callback(lambda _: self._on_done(connection))
 
-    def _served(self, connection: HttpConnection) -> None:
+    def _on_done(self, connection: HttpConnection) -> None:
         self.connections.pop(connection, None)
-        if connection.unsent():
+        if connection.unsent_bytes():
             self._unsent.add(connection)
 
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Return the bytes of answers that have not left this process."""
-        self._unsent = {connection for connection in self._unsent if connection.unsent()}
-        return sum(connection.unsent() for connection in (*self._unsent, *self.connections))
+        self._unsent = {connection for connection in self._unsent if connection.unsent_bytes()}
+        return sum(connection.unsent_bytes() for connection in (*self._unsent, *self.connections))
 
     def stop_accepting(self) -> None:
         """Close the listening socket; open connections go on."""
--- a/hornbeamgw/daemon/link.py
+++ b/hornbeamgw/daemon/link.py
@@ -13,9 +13,9 @@
 
 # An answer to a heartbeat takes 3 ms between data centres; a lost packet is sent again after
 # 0.2 s, so that silence of half a second is more than one loss.
-HEARTBEAT_AFTER_S = 0.15
-DOUBTED_AFTER_S = 0.5
-SILENT_AFTER_S = 1.2
+HEARTBEAT_AFTER_IDLE_S = 0.15
+SUSPECT_AFTER_IDLE_S = 0.5
+LOST_AFTER_IDLE_S = 1.2
 
 
 class LinkLost(Exception):
@@ -24,8 +24,8 @@
 
 def _is_between_data_centres(one: frames.Hello, other: frames.Hello) -> bool:
     """Return whether two daemons name different data centres; one may name none."""
-    named = one.data_centre and other.data_centre
-    return bool(named) and one.data_centre != other.data_centre
+    both_named = one.data_centre and other.data_centre
+    return bool(both_named) and one.data_centre != other.data_centre
 
 
 class Link(asyncio.Protocol):
@@ -41,10 +41,12 @@
         """Take one's own hello and what to call for frames, the end and faults."""
         self.hello = hello
         self.peer: frames.Hello | None = None
-        self.peer_known: asyncio.Future[frames.Hello] = asyncio.get_running_loop().create_future()
+        self.hello_received: asyncio.Future[frames.Hello] = (
+            asyncio.get_running_loop().create_future()
+        )
         self.transport: asyncio.Transport | None = None
         self.lost = False
-        self.has_answered = False
+        self.ack_received = False
         self.received_at = 0.0
         self.bytes_in = 0
         self.bytes_out = 0
@@ -70,19 +72,23 @@
         if self._compressor is None:
             self._write(codec.encode_frame(frame))
             return
-        bare, body = codec.detach_body(frame)
-        head = self._compressor.shrink(codec.encode_frame(bare)[codec.LENGTH_BYTES :])
+        frame_without_body, body = codec.detach_body(frame)
+        head = self._compressor.compress(
+            codec.encode_frame(frame_without_body)[codec.LENGTH_PREFIX_BYTES :]
+        )
         kind = type(frame).__name__.lower()
-        self.crossed[f"{kind}.head"] += codec.LENGTH_BYTES + len(head)
+        self.crossed[f"{kind}.head"] += codec.LENGTH_PREFIX_BYTES + len(head)
         self.crossed[f"{kind}.body"] += len(body)
-        self._write(codec.framed(head + body))
+        self._write(codec.add_length_prefix(head + body))
 
     def send_encoded(self, payload: bytes) -> None:
         """Write a frame that goes to several links; one to a lost link is dropped."""
         if self.transport is None or self.lost:
             return
         if self._compressor is not None:
-            payload = codec.framed(self._compressor.shrink(payload[codec.LENGTH_BYTES :]))
+            payload = codec.add_length_prefix(
+                self._compressor.compress(payload[codec.LENGTH_PREFIX_BYTES :])
+            )
             self.crossed["question.head"] += len(payload)
         self._write(payload)
 
@@ -97,47 +103,47 @@
         self.bytes_in += len(data)
         self._buffer += data
         try:
-            self._take_frames()
+            self._read_frames()
         except codec.CodecError as error:
             self._on_fault(str(error))
             self.abort()
 
-    def _take_frames(self) -> None:
+    def _read_frames(self) -> None:
         buffer, start = self._buffer, 0
-        while len(buffer) - start >= codec.LENGTH_BYTES and not self.lost:
-            head = start + codec.LENGTH_BYTES
-            size = int.from_bytes(buffer[start:head], "big")
-            if size > codec.MAX_FRAME:
+        while len(buffer) - start >= codec.LENGTH_PREFIX_BYTES and not self.lost:
+            payload_start = start + codec.LENGTH_PREFIX_BYTES
+            size = int.from_bytes(buffer[start:payload_start], "big")
+            if size > codec.MAX_FRAME_BYTES:
                 raise codec.CodecError(
-                    f"a frame of {size} bytes, expected {codec.MAX_FRAME} at most"
+                    f"a frame of {size} bytes, expected {codec.MAX_FRAME_BYTES} at most"
                 )
-            if len(buffer) - head < size:
+            if len(buffer) - payload_start < size:
                 break
-            start = head + size
-            self._take_payload(bytes(buffer[head:start]))
+            start = payload_start + size
+            self._handle_payload(bytes(buffer[payload_start:start]))
         del buffer[:start]
 
-    def _take_payload(self, payload: bytes) -> None:
+    def _handle_payload(self, payload: bytes) -> None:
         if self._decompressor is None:
-            self._take(codec.decode_frame(payload))
+            self._handle_frame(codec.decode_frame(payload))
             return
         try:
-            head, body = self._decompressor.restore(payload, codec.MAX_FRAME)
+            head, body = self._decompressor.decompress(payload, codec.MAX_FRAME_BYTES)
         except ValueError as error:
             raise codec.CodecError(str(error)) from error
-        self._take(codec.attach_body(codec.decode_frame(head), body))
+        self._handle_frame(codec.attach_body(codec.decode_frame(head), body))
 
-    def _take(self, frame: frames.Frame) -> None:
+    def _handle_frame(self, frame: frames.Frame) -> None:
         if self.peer is None:
-            self._take_hello(frame)
+            self._handle_hello(frame)
         elif isinstance(frame, frames.Heartbeat):
-            self.has_answered = self.has_answered or not frame.asks
-            if frame.asks:
+            self.ack_received = self.ack_received or not frame.expects_reply
+            if frame.expects_reply:
                 self.send(frames.Heartbeat(False))
         else:
             self._on_frame(self, frame)
 
-    def _take_hello(self, frame: frames.Frame) -> None:
+    def _handle_hello(self, frame: frames.Frame) -> None:
         if not isinstance(frame, frames.Hello):
             raise codec.CodecError("a link that does not open with a hello")
         if frame.fleet != self.hello.fleet:
@@ -145,20 +151,20 @@
         self.peer = frame
         if _is_between_data_centres(self.hello, frame):
             self._compressor, self._decompressor = Compressor(), Decompressor()
-        if not self.peer_known.done():
-            self.peer_known.set_result(frame)
+        if not self.hello_received.done():
+            self.hello_received.set_result(frame)
 
-    def expect(self, now: float) -> None:
+    def restart_idle_timer(self, now: float) -> None:
         """Count silence from now on: nothing was waited for until now."""
         self.received_at = max(self.received_at, now)
 
-    def check(self, now: float) -> None:
+    def check_liveness(self, now: float) -> None:
         """Ask for a sign of life, and break a link that stays silent."""
         idle = now - self.received_at
-        if idle >= SILENT_AFTER_S:
+        if idle >= LOST_AFTER_IDLE_S:
             self._on_fault("silent link")
             self.abort()
-        elif idle >= HEARTBEAT_AFTER_S:
+        elif idle >= HEARTBEAT_AFTER_IDLE_S:
             self.send(frames.Heartbeat(True))
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -169,8 +175,8 @@
         if self.lost:
             return
         self.lost = True
-        if not self.peer_known.done():
-            self.peer_known.cancel()
+        if not self.hello_received.done():
+            self.hello_received.cancel()
         self._on_lost(self)
 
     def abort(self) -> None:
@@ -179,14 +185,14 @@
             self.transport.abort()
         self._end()
 
-    def ask_whether_read(self) -> None:
+    def request_ack(self) -> None:
         """Ask for an answer, which the other side gives once it has read all that was sent."""
-        self.has_answered = False
+        self.ack_received = False
         self.send(frames.Heartbeat(True))
 
-    def may_answer(self, now: float) -> bool:
+    def is_ack_pending(self, now: float) -> bool:
         """Return whether the other side has not answered yet and is not silent."""
-        return not (self.lost or self.has_answered or now - self.received_at >= SILENT_AFTER_S)
+        return not (self.lost or self.ack_received or now - self.received_at >= LOST_AFTER_IDLE_S)
 
     def close(self) -> None:
         """Close after what was written."""
@@ -211,7 +217,7 @@
                 lambda: Link(hello, on_frame, on_lost, on_fault), host, port
             )
             try:
-                await asyncio.wait([link.peer_known])
+                await asyncio.wait([link.hello_received])
             except asyncio.CancelledError:
                 link.abort()
                 raise
@@ -222,7 +228,7 @@
     return link
 
 
-class Exchanged(NamedTuple):
+class ExchangeResult(NamedTuple):
     """Hold an answer, who gave it, and the bytes that the exchange took."""
 
     answer: frames.Frame
@@ -237,7 +243,7 @@
     request: frames.Frame,
     on_fault: Callable[[str], None],
     timeout: float,
-) -> Exchanged:
+) -> ExchangeResult:
     """Ask one question on a link of its own; raise LinkLost."""
     loop = asyncio.get_running_loop()
     answer: asyncio.Future[frames.Frame] = loop.create_future()
@@ -261,4 +267,4 @@
     finally:
         link.close()
     assert link.peer is not None
-    return Exchanged(frame, link.peer, link.bytes_in, link.bytes_out)
+    return ExchangeResult(frame, link.peer, link.bytes_in, link.bytes_out)
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -39,7 +39,7 @@
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.http1 import HttpConnection
 from hornbeamgw.daemon.http_server import (
-    ADMIN_BODY_LIMIT,
+    MAX_ADMIN_BODY_BYTES,
     HttpServer,
     Timeouts,
     json_response,
@@ -244,7 +244,7 @@
 
     async def _on_ready_request(self, connection: HttpConnection, request: h11.Request) -> None:
         """Say whether callers may be sent here: with a version in force, and not stopping."""
-        await read_body(connection, ADMIN_BODY_LIMIT)
+        await read_body(connection, MAX_ADMIN_BODY_BYTES)
         ready = versions.is_ready(self.control.versions) and not self.calls.draining
         version = self.control.versions.snapshot.version
         json_response(connection, 200 if ready else 503, {"ready": ready, "version": version})
--- a/hornbeamgw/daemon/peers.py
+++ b/hornbeamgw/daemon/peers.py
@@ -11,7 +11,7 @@
 from hornbeamgw.daemon.link import Link
 from hornbeamgw.daemon.reader import Reader
 
-READ_CHECK_EVERY_S = 0.01
+ACK_POLL_INTERVAL_S = 0.01
 
 
 class PeerServer:
@@ -63,14 +63,14 @@
     async def _answer_floor(self, link: Link, address: str) -> None:
         self._answer(link, "floor", await self._reader.answer_floor(address))
 
-    async def wait_read(self) -> None:
+    async def wait_until_read(self) -> None:
         """Wait until the daemons that were heard of lately have read all that was sent to them."""
         loop = asyncio.get_running_loop()
         asked = list(self.links)
         for link in asked:
-            link.ask_whether_read()
-        while any(link.may_answer(loop.time()) for link in asked):
-            await asyncio.sleep(READ_CHECK_EVERY_S)
+            link.request_ack()
+        while any(link.is_ack_pending(loop.time()) for link in asked):
+            await asyncio.sleep(ACK_POLL_INTERVAL_S)
 
     def abort(self) -> None:
         """Stop to listen and break the links."""
--- a/hornbeamgw/daemon/planned_stop.py
+++ b/hornbeamgw/daemon/planned_stop.py
@@ -72,9 +72,9 @@
         await self._gates.wait_idle()
         # What a process has written is lost with it as long as the sockets have not taken it, and
         # a link that is closed may be reset before the other side has read what they took.
-        while self._callers.unsent():
+        while self._callers.unsent_bytes():
             await asyncio.sleep(CHECK_EVERY_S)
-        await self._peers.wait_read()
+        await self._peers.wait_until_read()
 
     def _cut_off(self) -> list[str]:
         now = asyncio.get_running_loop().time()
--- a/hornbeamgw/daemon/relay.py
+++ b/hornbeamgw/daemon/relay.py
@@ -10,7 +10,7 @@
 from hornbeamgw.daemon.attempts import Attempt, Ending, Expired
 from hornbeamgw.daemon.call import Call
 from hornbeamgw.daemon.flow import Pacer
-from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, header, response_of
+from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, header, response_head
 from hornbeamgw.daemon.progress import WaitsFor
 
 # Of an answer without a length, as much as the users' larger ones have, so that it goes after most.
@@ -44,7 +44,7 @@
     headers.append((heads.CALL_ID, call.call_id.encode()))
     if close:
         headers.append((b"connection", b"close"))
-    events: list[h11.Event] = [response_of(reply.status, headers)]
+    events: list[h11.Event] = [response_head(reply.status, headers)]
     if reply.body:
         events.append(h11.Data(data=reply.body))
     if reply.end:
--- a/hornbeamgw/daemon/server_answer.py
+++ b/hornbeamgw/daemon/server_answer.py
@@ -10,7 +10,7 @@
 from hornbeamgw.core.dialect import AnswerHead, Dialect, invalid_reason, is_answer_to, says_not_run
 from hornbeamgw.core.verdict import Failure, Reason, may_have_run, not_run
 from hornbeamgw.daemon import frames, heads
-from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, header, plain
+from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, header, normalise_headers
 
 log = logging.getLogger(__name__)
 
@@ -64,7 +64,9 @@
         if not isinstance(event, h11.Response):
             raise ConnectionLost
         if is_answer_to(
-            dialect, AnswerHead(event.status_code, plain(event.headers)), call_id.encode()
+            dialect,
+            AnswerHead(event.status_code, normalise_headers(event.headers)),
+            call_id.encode(),
         ):
             return Head(event, foreign)
         foreign += 1
@@ -72,7 +74,7 @@
         await _skip_body(connection)
         if not sent:
             raise ConnectionLost
-        connection.expect_again(*sent)
+        connection.expect_another_response(*sent)
 
 
 async def _skip_body(connection: HttpConnection) -> None:
@@ -86,7 +88,7 @@
 
 def judge(dialect: Dialect, head: h11.Response, call_id: str) -> Failure | None:
     """Return a failure where an answer is none, or says that the request did not run."""
-    answer = AnswerHead(head.status_code, plain(head.headers))
+    answer = AnswerHead(head.status_code, normalise_headers(head.headers))
     if says_not_run(dialect, answer):
         detail = f"status {head.status_code}"
         failure = not_run(Reason.BACKEND_REFUSED, detail, RETRY_AFTER_REFUSED_MS)
--- a/hornbeamgw/daemon/server_exchange.py
+++ b/hornbeamgw/daemon/server_exchange.py
@@ -22,7 +22,7 @@
 from hornbeamgw.daemon.end_watch import EndWatch
 from hornbeamgw.daemon.flow import WINDOW, Pacer
 from hornbeamgw.daemon.gate_attempt import GateAttempt, pump_body
-from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, end_to_end, header
+from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, end_to_end_headers, header
 from hornbeamgw.daemon.link import Link
 from hornbeamgw.daemon.outgoing import Outgoing
 
@@ -170,7 +170,7 @@
         reply = frames.Reply(
             attempt.call.attempt,
             event.status_code,
-            heads.encode_headers(end_to_end(event.headers)),
+            heads.encode_headers(end_to_end_headers(event.headers)),
             first,
             is_whole,
             *self.load(),
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -80,7 +80,7 @@
     Mutant(
         "a daemon that stops ends once others have read what it sent",
         "hornbeamgw/daemon/planned_stop.py",
-        (("        await self._peers.wait_read()\n", ""),),
+        (("        await self._peers.wait_until_read()\n", ""),),
         OVERLAPS,
     ),
     Mutant(
--- a/properties/planned_load.py
+++ b/properties/planned_load.py
@@ -20,7 +20,7 @@
     Response,
     dial,
     header,
-    plain,
+    normalise_headers,
 )
 from hornbeamgw.testing.load import KINDS, Kind, Outcome, is_whole, target_of
 
@@ -98,7 +98,7 @@
         while True:
             event = await connection.next_event()
             if isinstance(event, h11.Response):
-                self.status, self.headers = event.status_code, plain(event.headers)
+                self.status, self.headers = event.status_code, normalise_headers(event.headers)
             elif isinstance(event, h11.Data):
                 self.body += event.data
             elif isinstance(event, h11.EndOfMessage):
