--- a/hornbeamgw/daemon/codec.py
+++ b/hornbeamgw/daemon/codec.py
@@ -1,4 +1,4 @@
-"""Codec: frames in Cap'n Proto, by pycapnp."""
+"""Codec: encodes and decodes frames and member records in Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
 from hornbeamgw.daemon import frames
 
 capnp.remove_import_hook()
-# Not by importlib.resources, which brings 14 modules that a daemon has no other use for.
+# importlib.resources would import 14 modules that the daemon doesn't need otherwise.
 schema = capnp.load(str(Path(__file__).parents[1] / "schema" / "messages.capnp"))
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 LENGTH_PREFIX_BYTES = 4
-# A change is passed on some eight times, to one member after the other. Restarts that follow one
-# another leave a few dozen such changes at a time; a record takes 1 KB.
+# Gossip sends each changed record about eight times. During a rolling restart a few dozen records
+# are in circulation at once. An encoded record takes 1 KB.
 ENCODED_MEMBER_CACHE_SIZE = 64
 
-# Whether a record of the member at an address, in this order, would change anything.
+# Takes the address of a member and the (incarnation, sequence, status) of a received record, and
+# returns whether that record is newer than the known one.
 IsNewer = Callable[[str, tuple[int, int, int]], bool]
 
 
@@ -34,7 +35,7 @@
 
 
 class CodecError(ValueError):
-    """Say that bytes are no message of this protocol."""
+    """Received bytes are not a valid message of this protocol."""
 
 
 def _write_member(out: Any, member: Member) -> None:
@@ -102,9 +103,9 @@
 
 
 def field_reader(struct: Any, *names: str) -> Callable[[Any], list[Any]]:
-    """Return a function that reads some fields of a message, in this order.
+    """Return a function that reads the named fields of a message, in this order.
 
-    The fields are looked up once: by its name alone each takes pycapnp four times as long.
+    The fields are looked up once, since access by name is four times slower in pycapnp.
     """
     fields = [struct.schema.fields[name] for name in names]
 
@@ -135,20 +136,21 @@
 
 
 def _read_lists(raw: Any) -> list[Sequence[Any]]:
-    """Return what a record lists; to look for a list takes less than to read an empty one."""
+    """Return the list fields of a record; an absent list is not read, which would be slower."""
     has, get = raw._has_by_field, raw._get_by_field
     return [get(field) if has(field) else () for field in _member_list_fields]
 
 
 def read_member(raw: Any) -> Member:
-    """Return the record of a member in a message; raise ValueError where it is none."""
+    """Decode a member record; raise ValueError if it is invalid."""
     return _read_remaining_fields(raw, _read_identity(raw))
 
 
 def read_newer_members(records: Any, is_newer: IsNewer) -> list[Member]:
-    """Return the records that are news, read whole; raise ValueError where one of them is none.
+    """Decode only the member records that are newer than the known ones.
 
-    While members restart, most of what gossip brings was heard before.
+    Most records in gossip are already known while members restart. Raise ValueError if a decoded
+    record is invalid.
     """
     newer = []
     for raw in records:
@@ -182,14 +184,14 @@
 
 
 def write_members(out: Any, members: Sequence[Member]) -> None:
-    """Write records of members into a list of a message."""
+    """Write member records into a list of a message."""
     for index, member in enumerate(members):
         _write_member(out[index], member)
 
 
 @functools.lru_cache(maxsize=ENCODED_MEMBER_CACHE_SIZE)
 def encoded_member(member: Member) -> Any:
-    """Return a record as a message, from which it is copied into others."""
+    """Return a member record as a Cap'n Proto message that can be copied into other messages."""
     out = schema.Member.new_message()
     _write_member(out, member)
     return schema.Member.from_bytes_packed(out.to_bytes_packed())
@@ -408,7 +410,7 @@
         _read_refusal_fields(raw)
     )
     verdict = Verdict.MAY_HAVE_RUN if may_have_run else Verdict.NOT_RUN
-    # A newer daemon may have a reason that this one does not know; the verdict says what matters.
+    # Newer daemons may send an unknown reason. Retries depend only on the verdict.
     reason = Reason(reason_name) if reason_name in _REASONS else Reason.BACKEND_REFUSED
     return frames.Refusal(attempt, Failure(verdict, reason, detail, retry_after_ms, reached), *load)
 
@@ -478,7 +480,7 @@
 
 
 def encode_frame(frame: frames.Frame) -> bytes:
-    """Return a frame with its length before it."""
+    """Return an encoded frame with a length prefix."""
     message = schema.Frame.new_message()
     _writers_by_type[type(frame)](message, frame)
     payload: bytes = message.to_bytes()
@@ -486,12 +488,12 @@
 
 
 def add_length_prefix(payload: bytes) -> bytes:
-    """Return a payload with its length before it."""
+    """Return a payload with a length prefix."""
     return len(payload).to_bytes(LENGTH_PREFIX_BYTES, "big") + payload
 
 
 def decode_frame(payload: bytes) -> frames.Frame:
-    """Return the frame in a payload; raise CodecError where it is none."""
+    """Decode a frame; raise CodecError if it is invalid."""
     try:
         with schema.Frame.from_bytes(payload) as message:
             kind = message._which_str()
@@ -501,7 +503,7 @@
 
 
 def detach_body(frame: frames.Frame) -> tuple[frames.Frame, bytes]:
-    """Return a frame without the body that it carries, and that body."""
+    """Split a frame into the frame without its body, and the body."""
     if isinstance(frame, frames.Call | frames.Reply):
         return frame._replace(body=b""), frame.body
     if isinstance(frame, frames.Body):
@@ -510,7 +512,7 @@
 
 
 def attach_body(frame: frames.Frame, body: bytes) -> frames.Frame:
-    """Return a frame with the body that was detached from it."""
+    """Return a frame with a body that `detach_body` removed."""
     if isinstance(frame, frames.Call | frames.Reply):
         return frame._replace(body=body)
     return frame._replace(data=body) if isinstance(frame, frames.Body) else frame
--- a/hornbeamgw/daemon/datagrams.py
+++ b/hornbeamgw/daemon/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams: what daemons send by UDP, in Cap'n Proto, by pycapnp."""
+"""Datagrams: encodes and decodes UDP messages between daemons in Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     schema.Datagram, "fleet", "sender", "version", "digest", "viewHash", "era", "gossip"
 )
 
-MAX_UNSAFE_COUNT = 0xFFFF  # a tally carries it in 16 bits
+MAX_UNSAFE_COUNT = 0xFFFF  # 16-bit field of a tally
 
 
 def fleet_hash(fleet: str) -> int:
-    """Return the number that stands for a fleet in a datagram."""
+    """Return the 64-bit hash that identifies a fleet in datagrams."""
     return int.from_bytes(hashlib.blake2b(fleet.encode(), digest_size=8).digest(), "big")
 
 
@@ -69,7 +69,7 @@
 
 
 def encode_datagram(fleet: int, datagram: Envelope) -> bytes:
-    """Return a datagram in packed form."""
+    """Return a datagram in the packed encoding of Cap'n Proto."""
     out = schema.Datagram.new_message()
     out.fleet = fleet
     out.sender = datagram.sender
@@ -104,9 +104,9 @@
 def decode_datagram(
     fleet: int, payload: bytes, is_newer: IsNewer = lambda address, order: True
 ) -> Envelope:
-    """Return the datagram in a payload, of its gossip only what is news.
+    """Decode a datagram, with only those member records for which `is_newer` returns true.
 
-    Raises CodecError where it is none of this fleet.
+    Raise CodecError if the datagram is invalid or belongs to another fleet.
     """
     try:
         raw = schema.Datagram.from_bytes_packed(payload)
--- a/hornbeamgw/daemon/frames.py
+++ b/hornbeamgw/daemon/frames.py
@@ -1,4 +1,7 @@
-"""Frames: the typed messages on a TCP link between two daemons."""
+"""Frames: the typed messages on a TCP link between two daemons.
+
+The lower-case names of the types are labels of the metric `bytes_between_data_centres`.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 class Hello(NamedTuple):
-    """Open a link: the first frame of either side."""
+    """First frame of each side of a link."""
 
     fleet: str
     member: str
@@ -24,19 +27,34 @@
 
 
 class Heartbeat(NamedTuple):
-    """Show that a link is alive; one that asks is answered by one that does not."""
+    """Keep-alive frame; one that expects a reply is answered by one that doesn't."""
 
     expects_reply: bool
 
 
 class Call(NamedTuple):
-    """Ask for an attempt: the head of the request and the start of its body.
-
-    The objective (ms) is what is left of it, and the aim its whole; what is left may be negative.
-    The limits are those of the entry in the caller's snapshot, for a receiver that has none yet.
-    The fingerprint is that of the request, 0 where the caller's daemon tells none. The server is
-    known by its number beside the receiver. What such a request typically takes (ms) is 0 where the
-    caller's daemon has seen none.
+    """Start of an attempt: the head of the request and the first part of its body.
+
+    Attributes
+    ----------
+    end : bool
+        Whether `body` is complete.
+    remaining_objective_ms : int
+        Time until the latency objective is exceeded; negative if it is exceeded already.
+    latency_objective_ms : int
+        Latency objective of the route.
+    is_retry : bool
+        Whether the caller retries after a refusal.
+    repeat : bool
+        Whether an earlier attempt of the same call has reached a backend server.
+    limits : Limits
+        Limits of the catalogue entry, used by a receiver without a catalogue.
+    fingerprint : int
+        Hash of the request, 0 if unknown.
+    server : int
+        Number of the backend server on the receiver's VM.
+    typical_service_ms : int
+        Typical service time of the route, 0 if unknown.
     """
 
     attempt: int
@@ -62,7 +80,7 @@
 
 
 class Body(NamedTuple):
-    """Carry more of a request's or a reply's body; a sender that is leaving needs it taken soon."""
+    """Further part of a body; if `leaving`, the peer must accept the rest, as the sender stops."""
 
     attempt: int
     data: bytes
@@ -71,9 +89,16 @@
 
 
 class Reply(NamedTuple):
-    """Carry the head and the start of the body of an answer.
-
-    With it goes how long a newcomer would wait there, and how long this one held its slot (ms).
+    """Head of a response and the first part of its body.
+
+    Attributes
+    ----------
+    end : bool
+        Whether `body` is complete.
+    free_slots, wait_ms : int
+        Load of the backend server: its free slots and the expected wait of a new request.
+    service_ms : int
+        Time for which this request occupied its slot.
     """
 
     attempt: int
@@ -87,7 +112,7 @@
 
 
 class Refusal(NamedTuple):
-    """End an attempt without an answer."""
+    """End of an attempt without a response."""
 
     attempt: int
     failure: Failure
@@ -96,7 +121,7 @@
 
 
 class Credit(NamedTuple):
-    """Let the other side send more of a body (bytes); an urgent one goes before others."""
+    """Permission to send `size` more bytes of a body, with priority if `urgent`."""
 
     attempt: int
     size: int
@@ -104,13 +129,13 @@
 
 
 class Cancel(NamedTuple):
-    """Give up an attempt."""
+    """Cancellation of an attempt by the caller's daemon."""
 
     attempt: int
 
 
 class Question(NamedTuple):
-    """Ask what became of an attempt whose link was lost."""
+    """Query for the outcome of an attempt whose link was lost; answered by a Resolution."""
 
     attempt: int
     age_ms: int
@@ -118,14 +143,14 @@
 
 
 class Resolution(NamedTuple):
-    """Answer a question: whether the attempt may have run."""
+    """Answer to a Question: whether the attempt may have run."""
 
     attempt: int
     may_have_run: bool
 
 
 class OutlookRequest(NamedTuple):
-    """Ask what a request could expect at a gate; nothing is admitted or kept by it."""
+    """Query for the expected wait of a request, without admitting it; answered by an Outlook."""
 
     number: int
     service: str
@@ -140,7 +165,7 @@
 
 
 class Outlook(NamedTuple):
-    """Answer whether a request would be taken, the wait there, and else when to come back (ms)."""
+    """Answer to an OutlookRequest: whether it would be admitted, its wait, else a retry delay."""
 
     number: int
     takes: bool
@@ -150,43 +175,43 @@
 
 
 class Pull(NamedTuple):
-    """Ask for what follows a version."""
+    """Request for the changes after a catalogue version."""
 
     version: int
 
 
 class Deltas(NamedTuple):
-    """Answer a pull with consecutive deltas."""
+    """Answer to a Pull with consecutive deltas."""
 
     blobs: Sequence[bytes]
 
 
 class WholeCatalogue(NamedTuple):
-    """Answer a pull with a whole catalogue."""
+    """Answer to a Pull with a complete catalogue snapshot."""
 
     blob: bytes
 
 
 class ViewRequest(NamedTuple):
-    """Join or reconcile: one's own record, answered by a view."""
+    """Request for a membership view, with the sender's own record."""
 
     member: Member
 
 
 class View(NamedTuple):
-    """Carry every member that the sender knows."""
+    """Answer to a ViewRequest with all members known to the sender."""
 
     members: Sequence[Member]
 
 
 class FloorRequest(NamedTuple):
-    """Ask below which version the daemon at an address must not go."""
+    """Request for the lowest catalogue version that the daemon at an address may apply."""
 
     address: str
 
 
 class Floor(NamedTuple):
-    """Answer with a version; confirmed by a read of the platform begun after the request."""
+    """Answer to a FloorRequest; `confirmed` if read from the platform after the request."""
 
     version: int
     confirmed: bool
--- a/hornbeamgw/daemon/heads.py
+++ b/hornbeamgw/daemon/heads.py
@@ -1,4 +1,4 @@
-"""Heads: request and response lines with headers, as frames carry them."""
+"""Heads: encodes heads of HTTP requests and responses in MessagePack for use in frames."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RequestHead(NamedTuple):
-    """Hold the head of a request."""
+    """Head of a request."""
 
     method: bytes
     target: bytes
@@ -31,20 +31,20 @@
 
 
 def encode_request(head: RequestHead) -> bytes:
-    """Return the head of a request as a frame carries it."""
+    """Encode the head of a request."""
     return _encoder.encode(head)
 
 
 def decode_request(blob: bytes) -> RequestHead:
-    """Return the head in a blob; raise msgspec.MsgspecError."""
+    """Decode the head of a request; raise msgspec.MsgspecError."""
     return _request_decoder.decode(blob)
 
 
 def encode_headers(headers: Headers) -> bytes:
-    """Return the headers of a response as a frame carries them."""
+    """Encode the headers of a response."""
     return _encoder.encode(headers)
 
 
 def decode_headers(blob: bytes) -> Headers:
-    """Return the headers in a blob; raise msgspec.MsgspecError."""
+    """Decode the headers of a response; raise msgspec.MsgspecError."""
     return _headers_decoder.decode(blob)
--- a/hornbeamgw/daemon/http1.py
+++ b/hornbeamgw/daemon/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections by h11, for both sides of a connection."""
+"""HTTP/1.1 client and server connections, based on h11."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_UNREAD_BYTES = 256 * 1024
-# An answer that keeps arriving may take this many timeouts: 1 MB takes 2.7 s at 3 Mbit/s.
+# A response whose body keeps arriving may take up to this multiple of the timeout in total.
 SLOW_BODY_FACTOR = 4
 HOP_BY_HOP = frozenset(
     {
@@ -38,18 +38,18 @@
 
 
 class ConnectionLost(Exception):
-    """Say that the other side closed or broke a connection."""
+    """The peer closed or reset a connection."""
 
 
 class HttpConnection(asyncio.Protocol):
-    """Hold one connection and wait for its events."""
+    """HTTP/1.1 connection with an awaitable stream of h11 events."""
 
     def __init__(
         self,
         role: type[h11.SERVER] | type[h11.CLIENT],
         on_open: Callable[[HttpConnection], None] | None = None,
     ) -> None:
-        """Take the role of a server or of a client."""
+        """Initialise in the role of a server or client; `on_open` is called once connected."""
         self.http = h11.Connection(role, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.transport: asyncio.Transport | None = None
         self.lost = False
@@ -63,13 +63,13 @@
         self._discards_input = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and report the connection."""
+        """Store the transport and call `on_open`."""
         self.transport = cast(asyncio.Transport, transport)
         if self._on_open is not None:
             self._on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hand bytes to h11; stop reading where nobody takes them."""
+        """Pass bytes to h11; pause reading if too many are unread."""
         if self._discards_input:
             return
         self.http.receive_data(data)
@@ -84,10 +84,10 @@
         self._wake()
 
     def eof_received(self) -> bool:
-        """Hand the end of input to h11, unless it is a reset in disguise.
+        """Pass the end of input to h11, unless the connection was reset.
 
-        libuv reports the end of input without reading it where the last bytes and a reset came
-        together, and an answer without a length would then pass for complete.
+        libuv reports a reset that arrives together with the last bytes as a regular end of input.
+        A response without a content length would then be taken for complete.
         """
         if self._was_reset():
             self.connection_lost(ConnectionResetError())
@@ -103,7 +103,7 @@
         return sock is not None and sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Wake whoever waits."""
+        """Mark the connection as lost and wake all waiters."""
         self.lost = True
         self._wake()
         if self._writable is not None and not self._writable.done():
@@ -112,11 +112,11 @@
             self.on_lost()
 
     def pause_writing(self) -> None:
-        """Make drain() wait."""
+        """Make `drain` wait."""
         self._writable = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """Let drain() return."""
+        """Let `drain` return."""
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
         self._writable = None
@@ -126,7 +126,7 @@
             self._input_waiter.set_result(None)
 
     def poll(self) -> Event | None:
-        """Return the next event that has arrived, or None; raise h11.RemoteProtocolError."""
+        """Return the next event, or None if more input is needed; raise h11.RemoteProtocolError."""
         event = self.http.next_event()
         if event is h11.NEED_DATA:
             self._unread_bytes = 0
@@ -137,7 +137,7 @@
         return event  # type: ignore[return-value]
 
     async def next_event(self) -> Event:
-        """Return the next event; raise ConnectionLost or h11.RemoteProtocolError."""
+        """Wait for the next event; raise ConnectionLost or h11.RemoteProtocolError."""
         while True:
             event = self.poll()
             if event is not None:
@@ -145,14 +145,14 @@
             await self.wait_input()
 
     async def wait_input(self) -> None:
-        """Wait until something arrives; raise ConnectionLost."""
+        """Wait for input; raise ConnectionLost."""
         if self.lost:
             raise ConnectionLost
         self._input_waiter = asyncio.get_running_loop().create_future()
         await self._input_waiter
 
     def expect_another_response(self, *sent: h11.Event) -> None:
-        """Take what follows an answer as the one to the request that was sent last."""
+        """Expect a further response to the request `sent`, after a response to another request."""
         rest, closed = self.http.trailing_data
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         for event in sent:
@@ -167,28 +167,28 @@
         return bool(self.http.trailing_data[0])
 
     def send(self, *events: h11.Event) -> None:
-        """Write events in one go; raise ConnectionLost."""
+        """Send events with a single write; raise ConnectionLost."""
         if self.lost or self.transport is None or self.transport.is_closing():
             raise ConnectionLost
         self.transport.write(b"".join(self.http.send(event) or b"" for event in events))
 
     async def drain(self) -> None:
-        """Wait until the other side takes more; raise ConnectionLost."""
+        """Wait until the write buffer has room; raise ConnectionLost."""
         if self._writable is not None:
             await self._writable
         if self.lost:
             raise ConnectionLost
 
     def unsent_bytes(self) -> int:
-        """Return the bytes that were written and have not left this process."""
+        """Return the number of bytes in the write buffer."""
         if self.transport is None or self.lost:
             return 0
         return self.transport.get_write_buffer_size()
 
     async def linger(self, timeout: float) -> None:
-        """Let the other side read what was written while it still sends, for a time (s) at most.
+        """Half-close and discard input until the peer closes, for up to `timeout` seconds.
 
-        A connection that is closed with bytes unread is reset, and what was written may be lost.
+        Closing a connection with unread input resets it, and the peer may lose the response.
         """
         if self.transport is None or self.lost or self.transport.is_closing():
             return
@@ -202,24 +202,24 @@
                     await self.wait_input()
 
     def close(self) -> None:
-        """Close after what was written."""
+        """Close the connection after sending all written bytes."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Break the connection so that the other side sees it."""
+        """Close the connection at once, so that the peer sees a failure."""
         if self.transport is not None:
             self.transport.abort()
 
 
 def response_head(status: int, headers: Headers) -> h11.Response:
-    """Return the head of an answer with the usual phrase for its status."""
+    """Return the head of a response, with the standard reason phrase of its status."""
     phrase = PHRASES_BY_STATUS.get(status, b"")
     return h11.Response(status_code=status, headers=headers, reason=phrase)
 
 
 async def dial(address: str) -> HttpConnection:
-    """Open a client connection; raise OSError."""
+    """Open a client connection; raise OSError if it fails."""
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
     _, connection = await loop.create_connection(lambda: HttpConnection(h11.CLIENT), host, port)
@@ -227,10 +227,10 @@
 
 
 def normalise_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return headers as a list, names in lower case.
+    """Return headers as a list of pairs with lower-case names.
 
-    Those of h11 are a sequence that gives each pair by a call of its own; a request's are gone
-    through eight times on its way, which took a tenth of a daemon's work.
+    Iterating over a list is much faster than over the headers of h11, which build each pair on
+    access.
     """
     if isinstance(headers, list):
         return headers
@@ -241,7 +241,7 @@
 
 
 def end_to_end_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return the headers that a proxy passes on."""
+    """Return the headers that a proxy forwards: all but hop-by-hop headers."""
     normalised = normalise_headers(headers)
     connection_options: set[bytes] = set()
     for name, value in normalised:
@@ -251,7 +251,7 @@
 
 
 def header(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> bytes | None:
-    """Return the first value of a header, by its lower-case name."""
+    """Return the first value of a header, given its name in lower case."""
     for key, value in normalise_headers(headers):
         if key == name:
             return value
@@ -259,7 +259,7 @@
 
 
 class Response(NamedTuple):
-    """Hold a whole answer."""
+    """Complete response."""
 
     status: int
     headers: Headers
@@ -296,10 +296,10 @@
 
 
 class HttpClient:
-    """Ask one server, over kept connections; each call is an exchange of its own."""
+    """Client of one server with a pool of persistent connections."""
 
     def __init__(self, address: str, timeout: float) -> None:
-        """Take the address of the server and the bound (s) on an exchange."""
+        """Initialise with the server's address and the default timeout in seconds."""
         self.address = address
         self.timeout = timeout
         self._idle: list[HttpConnection] = []
@@ -312,9 +312,12 @@
         body: bytes = b"",
         timeout: float | None = None,
     ) -> Response:
-        """Return the answer; raise OSError, TimeoutError, ConnectionLost or a protocol error.
+        """Send a request and return the response.
 
-        The timeout (s) bounds the wait for the first part of a body and for each one that follows.
+        The timeout in seconds applies to the first part of the response body, and the default
+        timeout to each further part.
+
+        Raise OSError, TimeoutError, ConnectionLost or h11.ProtocolError.
         """
         loop = asyncio.get_running_loop()
         latest_end = loop.time() + SLOW_BODY_FACTOR * self.timeout
@@ -354,7 +357,7 @@
             connection.close()
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         for connection in self._idle:
             connection.close()
         self._idle.clear()
--- a/hornbeamgw/daemon/http_server.py
+++ b/hornbeamgw/daemon/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP server loop: requests one after another on each connection, bad ones refused."""
+"""HTTP server: handles the requests of each connection in sequence and refuses invalid ones."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 
 OnRequest = Callable[[HttpConnection, h11.Request], Awaitable[None]]
 HTTP_VERSIONS = (b"1.0", b"1.1")
-# A caller has so long to read an answer that came before its request was read.
+# Time for a caller to read a response that was sent before its request was read completely.
 LINGER_TIMEOUT_S = 2.0
 MAX_ADMIN_BODY_BYTES = 8 * 1024 * 1024
 
 
 class Timeouts(NamedTuple):
-    """Bound how long a head may take and a connection may idle (s)."""
+    """Maximum time in seconds to receive a request head, and to keep an idle connection open."""
 
     head_s: float = 5.0
     idle_s: float = 60.0
 
 
 class BadRequest(Exception):
-    """Refuse a request with a status and a reason."""
+    """A request is refused; the message is sent to the caller."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """Take the status code and a line for the caller."""
+        """Initialise with the status code of the response and a message."""
         super().__init__(reason)
         self.status = status
 
@@ -48,7 +48,7 @@
 def send_response(
     connection: HttpConnection, status: int, headers: Headers, body: bytes, close: bool = False
 ) -> None:
-    """Send a whole answer; raise ConnectionLost."""
+    """Send a complete response; raise ConnectionLost."""
     framed_headers = [*headers, (b"content-length", str(len(body)).encode())]
     if close:
         framed_headers.append((b"connection", b"close"))
@@ -59,7 +59,7 @@
 
 
 async def read_body(connection: HttpConnection, limit: int) -> bytes:
-    """Return the whole body of a request; raise BadRequest over the limit."""
+    """Return the body of a request; raise BadRequest if it exceeds `limit` bytes."""
     chunks: list[bytes] = []
     size = 0
     while True:
@@ -127,7 +127,7 @@
 async def run_connection(
     connection: HttpConnection, on_request: OnRequest, timeouts: Timeouts
 ) -> None:
-    """Serve requests until either side is done; a malformed one ends the connection."""
+    """Handle requests until either side closes; refuse a malformed one and close."""
     try:
         while True:
             request = await _next_request(connection, timeouts)
@@ -157,10 +157,10 @@
 
 
 class HttpServer:
-    """Accept connections and run a task for each."""
+    """HTTP server that runs a task per connection."""
 
     def __init__(self, on_request: OnRequest, timeouts: Timeouts) -> None:
-        """Take the handler of requests."""
+        """Initialise with a request handler and timeouts."""
         self._on_request = on_request
         self._timeouts = timeouts
         self._server: asyncio.Server | None = None
@@ -168,7 +168,7 @@
         self._unsent: set[HttpConnection] = set()
 
     async def start(self, address: str) -> str:
-        """Listen and return the address in use; raise OSError."""
+        """Start to listen and return the bound address; raise OSError."""
         host, port = split_address(address)
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -188,29 +188,32 @@
             self._unsent.add(connection)
 
     def unsent_bytes(self) -> int:
-        """Return the bytes of answers that have not left this process."""
+        """Return the number of response bytes in write buffers."""
         self._unsent = {connection for connection in self._unsent if connection.unsent_bytes()}
         return sum(connection.unsent_bytes() for connection in (*self._unsent, *self.connections))
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; open connections go on."""
+        """Close the listening socket; open connections remain."""
         if self._server is not None:
             self._server.close()
 
     def close_idle(self, with_input: bool = False) -> None:
-        """Close each connection that has no request under way, or none that has arrived whole."""
+        """Close connections without a request in progress.
+
+        With `with_input`, close also those that have received part of a request head.
+        """
         for connection in list(self.connections):
             if connection.http.our_state is h11.IDLE and (with_input or not connection.has_input()):
                 connection.close()
 
     def abort(self) -> None:
-        """Break what is still open."""
+        """Cancel the tasks of all connections and close them at once."""
         for connection, task in list(self.connections.items()):
             task.cancel()
             connection.abort()
 
 
 def json_response(connection: HttpConnection, status: int, value: Any) -> None:
-    """Send a value as JSON; raise ConnectionLost."""
+    """Send a response with a JSON body; raise ConnectionLost."""
     body = msgspec.json.encode(value)
     send_response(connection, status, [(b"content-type", b"application/json")], body)
--- a/hornbeamgw/daemon/link.py
+++ b/hornbeamgw/daemon/link.py
@@ -1,4 +1,4 @@
-"""Links: frames over one TCP connection between two daemons."""
+"""Links: exchange of frames over a TCP connection between two daemons."""
 
 from __future__ import annotations
 
@@ -11,25 +11,28 @@
 from hornbeamgw.daemon import codec, frames
 from hornbeamgw.daemon.compression import Compressor, Decompressor
 
-# An answer to a heartbeat takes 3 ms between data centres; a lost packet is sent again after
-# 0.2 s, so that silence of half a second is more than one loss.
+# Heartbeats are answered within milliseconds, and TCP retransmits a lost packet after 0.2 s. A link
+# becomes suspect only after more than one retransmission.
 HEARTBEAT_AFTER_IDLE_S = 0.15
 SUSPECT_AFTER_IDLE_S = 0.5
 LOST_AFTER_IDLE_S = 1.2
 
 
 class LinkLost(Exception):
-    """Say that a link broke or never opened."""
+    """A link broke or could not be opened."""
 
 
 def _is_between_data_centres(one: frames.Hello, other: frames.Hello) -> bool:
-    """Return whether two daemons name different data centres; one may name none."""
+    """Return whether both daemons name a data centre, and these differ."""
     both_named = one.data_centre and other.data_centre
     return bool(both_named) and one.data_centre != other.data_centre
 
 
 class Link(asyncio.Protocol):
-    """Hold one connection, hand over its frames in order, and notice silence."""
+    """Connection to another daemon that delivers frames in order and detects a silent peer.
+
+    Frames are compressed if the daemons are in different data centres.
+    """
 
     def __init__(
         self,
@@ -38,7 +41,7 @@
         on_lost: Callable[[Link], None],
         on_fault: Callable[[str], None],
     ) -> None:
-        """Take one's own hello and what to call for frames, the end and faults."""
+        """Initialise with the own hello and callbacks for frames, link loss and protocol errors."""
         self.hello = hello
         self.peer: frames.Hello | None = None
         self.hello_received: asyncio.Future[frames.Hello] = (
@@ -55,18 +58,18 @@
         self._on_fault = on_fault
         self._buffer = bytearray()
         self.crossed: Counter[str] = Counter()
-        # Nothing but one's own hello is sent before the other side's is known.
+        # Set once the peer's hello has arrived. Until then only the own hello is sent.
         self._compressor: Compressor | None = None
         self._decompressor: Decompressor | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and say hello."""
+        """Store the transport and send the hello."""
         self.transport = cast(asyncio.Transport, transport)
         self.received_at = asyncio.get_running_loop().time()
         self.send(self.hello)
 
     def send(self, frame: frames.Frame) -> None:
-        """Write a frame; one to a lost link is dropped."""
+        """Send a frame; drop it if the link is lost."""
         if self.transport is None or self.lost:
             return
         if self._compressor is None:
@@ -82,7 +85,7 @@
         self._write(codec.add_length_prefix(head + body))
 
     def send_encoded(self, payload: bytes) -> None:
-        """Write a frame that goes to several links; one to a lost link is dropped."""
+        """Send an encoded frame, as used to send one frame to several links; drop it if lost."""
         if self.transport is None or self.lost:
             return
         if self._compressor is not None:
@@ -98,7 +101,7 @@
         self.transport.write(payload)
 
     def data_received(self, data: bytes) -> None:
-        """Cut the bytes into frames; a bad one ends the link."""
+        """Split received bytes into frames; close the link on an invalid one."""
         self.received_at = asyncio.get_running_loop().time()
         self.bytes_in += len(data)
         self._buffer += data
@@ -155,11 +158,11 @@
             self.hello_received.set_result(frame)
 
     def restart_idle_timer(self, now: float) -> None:
-        """Count silence from now on: nothing was waited for until now."""
+        """Measure idle time from now, since no frames were expected until now."""
         self.received_at = max(self.received_at, now)
 
     def check_liveness(self, now: float) -> None:
-        """Ask for a sign of life, and break a link that stays silent."""
+        """Send a heartbeat to an idle peer, and abort the link after LOST_AFTER_IDLE_S."""
         idle = now - self.received_at
         if idle >= LOST_AFTER_IDLE_S:
             self._on_fault("silent link")
@@ -168,7 +171,7 @@
             self.send(frames.Heartbeat(True))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Report the end once."""
+        """Report the loss of the link, unless this has been done."""
         self._end()
 
     def _end(self) -> None:
@@ -180,22 +183,22 @@
         self._on_lost(self)
 
     def abort(self) -> None:
-        """Break the link at once."""
+        """Close the link at once, discarding unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
         self._end()
 
     def request_ack(self) -> None:
-        """Ask for an answer, which the other side gives once it has read all that was sent."""
+        """Request a heartbeat reply, which shows that the peer has read all previous frames."""
         self.ack_received = False
         self.send(frames.Heartbeat(True))
 
     def is_ack_pending(self, now: float) -> bool:
-        """Return whether the other side has not answered yet and is not silent."""
+        """Return whether the reply to `request_ack` is outstanding and the link is not lost."""
         return not (self.lost or self.ack_received or now - self.received_at >= LOST_AFTER_IDLE_S)
 
     def close(self) -> None:
-        """Close after what was written."""
+        """Close the link after sending all written bytes."""
         if self.transport is not None:
             self.transport.close()
 
@@ -208,7 +211,7 @@
     on_fault: Callable[[str], None],
     timeout: float,
 ) -> Link:
-    """Open a link and wait for the other side's hello; raise LinkLost."""
+    """Open a link and wait for the peer's hello, for up to `timeout` seconds; raise LinkLost."""
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
     try:
@@ -229,7 +232,7 @@
 
 
 class ExchangeResult(NamedTuple):
-    """Hold an answer, who gave it, and the bytes that the exchange took."""
+    """Answer to a request, the peer that sent it, and the bytes transferred."""
 
     answer: frames.Frame
     peer: frames.Hello
@@ -244,7 +247,7 @@
     on_fault: Callable[[str], None],
     timeout: float,
 ) -> ExchangeResult:
-    """Ask one question on a link of its own; raise LinkLost."""
+    """Send a request on a new link and wait for the answer; raise LinkLost."""
     loop = asyncio.get_running_loop()
     answer: asyncio.Future[frames.Frame] = loop.create_future()
 
--- a/hornbeamgw/daemon/peers.py
+++ b/hornbeamgw/daemon/peers.py
@@ -1,4 +1,4 @@
-"""Peers: accepts links of other daemons and answers or hands on their frames."""
+"""Peers: accepts links from other daemons and dispatches their frames."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class PeerServer:
-    """Own the listening socket for links."""
+    """Server for links that other daemons open."""
 
     def __init__(self, control: Control, reader: Reader, gates: Gates) -> None:
-        """Take who answers what."""
+        """Initialise with the components that handle frames."""
         self._control = control
         self._reader = reader
         self._gates = gates
@@ -26,7 +26,7 @@
         self.links: set[Link] = set()
 
     async def start(self, address: str) -> None:
-        """Listen; raise OSError."""
+        """Start to listen; raise OSError."""
         host, port = split_address(address)
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._accept, host, port, backlog=1024)
@@ -64,7 +64,7 @@
         self._answer(link, "floor", await self._reader.answer_floor(address))
 
     async def wait_until_read(self) -> None:
-        """Wait until the daemons that were heard of lately have read all that was sent to them."""
+        """Wait until all peers have read the frames sent to them, or are lost."""
         loop = asyncio.get_running_loop()
         asked = list(self.links)
         for link in asked:
@@ -73,14 +73,14 @@
             await asyncio.sleep(ACK_POLL_INTERVAL_S)
 
     def abort(self) -> None:
-        """Stop to listen and break the links."""
+        """Stop listening and abort all links."""
         if self._server is not None:
             self._server.close()
         for link in list(self.links):
             link.abort()
 
     def close(self) -> None:
-        """Stop to listen and close the links."""
+        """Stop listening and close all links."""
         if self._server is not None:
             self._server.close()
         for link in list(self.links):
