--- a/hornbeamgw/daemon/frames.py
+++ b/hornbeamgw/daemon/frames.py
@@ -80,7 +80,7 @@
 
 
 class Body(NamedTuple):
-    """Further part of a body; if `leaving`, the peer must accept the rest, as the sender stops."""
+    """Further part of a body; `leaving` asks the peer to accept the rest soon."""
 
     attempt: int
     data: bytes
--- a/hornbeamgw/daemon/link.py
+++ b/hornbeamgw/daemon/link.py
@@ -31,7 +31,7 @@
 class Link(asyncio.Protocol):
     """Connection to another daemon that delivers frames in order and detects a silent peer.
 
-    Frames are compressed if the daemons are in different data centres.
+    Frames are compressed, except for their bodies, between daemons in different data centres.
     """
 
     def __init__(
@@ -58,7 +58,8 @@
         self._on_fault = on_fault
         self._buffer = bytearray()
         self.crossed: Counter[str] = Counter()
-        # Set once the peer's hello has arrived. Until then only the own hello is sent.
+        # Set when the hello of a peer in another data centre arrives. Only the own hello is sent
+        # before that.
         self._compressor: Compressor | None = None
         self._decompressor: Decompressor | None = None
 
