--- a/hornbeamgw/daemon/codec.py
+++ b/hornbeamgw/daemon/codec.py
@@ -26,8 +26,8 @@
 # are in circulation at once. An encoded record takes 1 KB.
 ENCODED_MEMBER_CACHE_SIZE = 64
 
-# Takes the address of a member and the (incarnation, sequence, status) of a received record, and
-# returns whether that record is newer than the known one.
+# Takes the address of a member and the rank of a received record (incarnation, sequence, status),
+# and returns whether the record is newer than the known one.
 IsNewer = Callable[[str, tuple[int, int, int]], bool]
 
 
@@ -155,8 +155,8 @@
     newer = []
     for raw in records:
         identity = _read_identity(raw)
-        address, _, _, *order = identity
-        if is_newer(address, tuple(order)):
+        address, _, _, *rank = identity
+        if is_newer(address, tuple(rank)):
             newer.append(_read_remaining_fields(raw, identity))
     return newer
 
--- a/hornbeamgw/daemon/datagrams.py
+++ b/hornbeamgw/daemon/datagrams.py
@@ -102,7 +102,7 @@
 
 
 def decode_datagram(
-    fleet: int, payload: bytes, is_newer: IsNewer = lambda address, order: True
+    fleet: int, payload: bytes, is_newer: IsNewer = lambda address, rank: True
 ) -> Envelope:
     """Decode a datagram, with only those member records for which `is_newer` returns true.
 
