--- a/hornbeamgw/daemon/gate_attempt.py
+++ b/hornbeamgw/daemon/gate_attempt.py
@@ -95,10 +95,10 @@
         limits,
         now + frame.deadline_ms / 1000,
         frame.route,
-        now + frame.objective_ms / 1000,
-        frame.aim_ms / 1000,
+        now + frame.remaining_objective_ms / 1000,
+        frame.latency_objective_ms / 1000,
         frame.priority,
-        frame.came_back,
+        frame.is_retry,
         transfer,
         now,
     )
@@ -126,7 +126,7 @@
     call = attempt.call
     fields = {"reason": failure.reason, "verdict": failure.verdict, "wait_ms": wait_ms}
     fields |= {"running": len(state.running_by_attempt), "waiting": len(state.queue)}
-    fields |= {"objective_ms": call.objective_ms, "deadline_ms": call.deadline_ms}
+    fields |= {"objective_ms": call.remaining_objective_ms, "deadline_ms": call.deadline_ms}
     log.info("attempt refused", extra={"call_id": call.call_id, "route": call.route, **fields})
 
 
--- a/hornbeamgw/daemon/peers.py
+++ b/hornbeamgw/daemon/peers.py
@@ -1,4 +1,4 @@
-"""Peers: accepts links of other daemons and answers or hands on their frames."""
+"""Peers: accepts links from other daemons and dispatches their frames."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from hornbeamgw.daemon.link import Link
 from hornbeamgw.daemon.reader import Reader
 
-READ_CHECK_EVERY_S = 0.01
+ACK_POLL_INTERVAL_S = 0.01
 
 
 class PeerServer:
-    """Own the listening socket for links."""
+    """Server for links that other daemons open."""
 
     def __init__(self, control: Control, reader: Reader, gates: Gates) -> None:
-        """Take who answers what."""
+        """Initialise with the components that handle frames."""
         self._control = control
         self._reader = reader
         self._gates = gates
@@ -26,7 +26,7 @@
         self.links: set[Link] = set()
 
     async def start(self, address: str) -> None:
-        """Listen; raise OSError."""
+        """Start to listen; raise OSError."""
         host, port = split_address(address)
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._accept, host, port, backlog=1024)
@@ -63,24 +63,24 @@
     async def _answer_floor(self, link: Link, address: str) -> None:
         self._answer(link, "floor", await self._reader.answer_floor(address))
 
-    async def wait_read(self) -> None:
-        """Wait until the daemons that were heard of lately have read all that was sent to them."""
+    async def wait_until_read(self) -> None:
+        """Wait until all peers have read the frames sent to them, or are lost."""
         loop = asyncio.get_running_loop()
         asked = list(self.links)
         for link in asked:
-            link.ask_whether_read()
-        while any(link.may_answer(loop.time()) for link in asked):
-            await asyncio.sleep(READ_CHECK_EVERY_S)
+            link.request_ack()
+        while any(link.is_ack_pending(loop.time()) for link in asked):
+            await asyncio.sleep(ACK_POLL_INTERVAL_S)
 
     def abort(self) -> None:
-        """Stop to listen and break the links."""
+        """Stop listening and abort all links."""
         if self._server is not None:
             self._server.close()
         for link in list(self.links):
             link.abort()
 
     def close(self) -> None:
-        """Stop to listen and close the links."""
+        """Stop listening and close all links."""
         if self._server is not None:
             self._server.close()
         for link in list(self.links):
