--- a/features/steps/era.py
+++ b/features/steps/era.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from hornbeamgw.daemon.presence import COPY_MAX_AGE_S
+from hornbeamgw.daemon.presence import BACKUP_MAX_AGE_S
 
 
 @given("a copy of the store is kept")
@@ -53,7 +53,7 @@
 @given("the daemons have been up for a long time")
 def long_up(context):
     for daemon in context.living:
-        daemon._own_row._stored_at -= 2 * COPY_MAX_AGE_S
+        daemon._own_row._stored_at -= 2 * BACKUP_MAX_AGE_S
 
 
 @then("after {seconds:d} seconds no row was written")
--- a/features/steps/findings.py
+++ b/features/steps/findings.py
@@ -194,11 +194,11 @@
     async def run():
         rows, published = OneRow(), []
         before = OwnRow(rows, ME)
-        before.note_findings(quarantine.persistent_findings(context.state))
+        before.set_findings(quarantine.persistent_findings(context.state))
         await before.write()
         me = ME._replace(incarnation=ME.incarnation + 1)
         context.anew = Quarantine(me, lambda findings, kept, urgent: published.append(findings))
-        OwnRow(rows, me, context.anew.hear).tell_findings(RowPage([rows.row], 1, 0.0))
+        OwnRow(rows, me, context.anew.hear).report_findings(RowPage([rows.row], 1, 0.0))
         context.refusals = [context.anew.refusal(number_for("cause"))]
         context.published = published
 
--- a/features/steps/reborn.py
+++ b/features/steps/reborn.py
@@ -21,7 +21,7 @@
 from hornbeamgw.daemon.announcements import Announcements, decoders_by_name
 from hornbeamgw.daemon.attempts import Links
 from hornbeamgw.daemon.call import View
-from hornbeamgw.daemon.directory import members_of
+from hornbeamgw.daemon.directory import decode_members
 from hornbeamgw.daemon.gate import Gate
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.http1 import HttpClient
@@ -317,7 +317,7 @@
 
 @then("only the other is found")
 def other_found(context):
-    assert [member.address for member in members_of(context.page)] == [OTHER]
+    assert [member.address for member in decode_members(context.page)] == [OTHER]
 
 
 WRONG_ROWS = {
--- a/features/steps/servers.py
+++ b/features/steps/servers.py
@@ -22,7 +22,7 @@
 from hornbeamgw.daemon.gate import Gate
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.http_server import HttpServer, Timeouts, read_body, send_response
-from hornbeamgw.daemon.presence import TABLE, OwnRow, member_of
+from hornbeamgw.daemon.presence import TABLE, OwnRow, decode_member
 from hornbeamgw.testing.asker import Asker
 from hornbeamgw.testing.local import wait_for
 
@@ -297,4 +297,4 @@
     sent = datagrams.encode_datagram(fleet, Envelope(KEY, 1, 1, 1, [me], Have()))
     assert datagrams.decode_datagram(fleet, sent).gossip == [me]
     row = StoredRow(KEY, context.rows.value, 1)
-    assert member_of(row).address == KEY
+    assert decode_member(row).address == KEY
--- a/hornbeamgw/daemon/adoption.py
+++ b/hornbeamgw/daemon/adoption.py
@@ -34,7 +34,7 @@
 
     def note(self, announcements: Iterable[Announcement]) -> None:
         """Keep what the servers here say of themselves; one that leaves is not kept."""
-        self._row.note(announcements)
+        self._row.set_servers(announcements)
 
     async def last_known(self) -> Sequence[Announcement]:
         """Return what the servers here said before this daemon's start."""
--- a/hornbeamgw/daemon/committer.py
+++ b/hornbeamgw/daemon/committer.py
@@ -1,4 +1,4 @@
-"""Committer: carries an operator's edit into the platform and spreads it."""
+"""Commits of operators' edits to the platform."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 
 log = logging.getLogger(__name__)
 
-COMMIT_LIMIT_S = 20.0
+COMMIT_TIMEOUT_S = 20.0
 BACKOFF_S = 0.05
 BACKOFF_MAX_S = 1.0
 
 
 class Committed(NamedTuple):
-    """Say which version an edit became."""
+    """Result of an edit that was committed as this version."""
 
     version: int
 
 
-class Unsure(NamedTuple):
-    """Say that the platform gave no answer; the same edit id may be sent again."""
+class UnknownOutcome(NamedTuple):
+    """Result of an edit without a final answer; it can be retried with the same edit id."""
 
     detail: str
 
 
-Outcome = Committed | Rejection | Unsure
+Outcome = Committed | Rejection | UnknownOutcome
 
 
 class Committer:
-    """Own the writes to the platform; no lease is needed, for each write is conditional."""
+    """Writer of catalogue versions; all writes are conditional, so no lease is needed."""
 
     def __init__(
         self, control: Control, reader: Reader, platform: Platform, rng: random.Random
     ) -> None:
-        """Take the platform to write and the control that spreads what was accepted."""
+        """Create a committer that pushes committed versions through `control`."""
         self._control = control
         self._reader = reader
         if platform.table is None or platform.objects is None:
@@ -56,20 +56,24 @@
         self._objects = platform.objects
         self._rng = rng
 
-    async def commit(self, wanted: Edit) -> Outcome:
-        """Make an edit the next version, or say why not; a lost answer is resolved by its id."""
+    async def commit(self, requested: Edit) -> Outcome:
+        """Commit an edit as the next version, or return why it failed.
+
+        If the answer to a write was lost, the edit is looked up by its id.
+        """
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + COMMIT_LIMIT_S
+        deadline = loop.time() + COMMIT_TIMEOUT_S
         failures = 0
         detail = ""
-        while loop.time() < give_up_at:
+        while loop.time() < deadline:
             try:
-                outcome = await self._try_once(wanted)
+                outcome = await self._attempt(requested)
             except PlatformError as error:
                 detail = str(error)
                 failures += 1
                 log.warning(
-                    "commit without an answer", extra={"edit": wanted["edit_id"], "error": detail}
+                    "commit failed or its result is unknown; retrying",
+                    extra={"edit": requested["edit_id"], "error": detail},
                 )
                 ceiling = min(BACKOFF_MAX_S, BACKOFF_S * 2**failures)
                 await asyncio.sleep(self._rng.uniform(0, ceiling))
@@ -77,20 +81,20 @@
             if outcome is not None:
                 return outcome
             await asyncio.sleep(self._rng.uniform(0, BACKOFF_S))
-        return Unsure(detail or "the head kept moving")
+        return UnknownOutcome(detail or "the head kept moving")
 
-    async def _try_once(self, wanted: Edit) -> Outcome | None:
+    async def _attempt(self, requested: Edit) -> Outcome | None:
         row = await self._table.read(commit.HEAD_KEY)
         head = commit.decode_head(row.value if row else None)
         if await self._reader.catch_up(of_commit(head)):
             self._control.push()
-        earlier = self._find(wanted["edit_id"])
+        earlier = self._find_committed(requested["edit_id"])
         if earlier is not None:
             return Committed(earlier["version"])
         known = self._control.versions.catalogue
         if not commit.is_at_head(known, head):
             return None
-        accepted = edit.accept(known, wanted, round(time.time() * 1000))
+        accepted = edit.accept(known, requested, round(time.time() * 1000))
         if isinstance(accepted, Err):
             return accepted.err_value
         delta = accepted.ok_value
@@ -110,7 +114,7 @@
         plan = commit.plan(head, etag, delta, with_snapshot)
         return await self._table.transact(plan.writes)
 
-    def _find(self, edit_id: str) -> Delta | None:
+    def _find_committed(self, edit_id: str) -> Delta | None:
         blobs = self._control.versions.deltas_by_version.values()
         found = [edit.decode_delta(blob) for blob in blobs if edit_id.encode() in blob]
         return commit.find_edit(found, edit_id)
--- a/hornbeamgw/daemon/directory.py
+++ b/hornbeamgw/daemon/directory.py
@@ -1,10 +1,10 @@
-"""Directory: lets daemons find one another through rows of the platform, without seeds.
+"""Discovery of other daemons through rows in the platform's store, without seeds.
 
-A daemon reads all rows when it starts, and writes its own where the store lacks it; from then on
-probes and gossip carry the view, so the store's rate does not bound the fleet. Of two daemons that
-start together at least one must see the other: whoever finds nobody, or nobody that answers, reads
-again after its own row is there. Rows never expire by themselves: one daemon, chosen anew each
-time, deletes those of daemons that ended long ago.
+A daemon reads all rows when it starts, and writes its own row if it is missing or outdated. After
+that, the membership view is maintained by probes and gossip, so the store's rate limit does not
+limit the fleet's size. If two daemons start at the same time, at least one must find the other: a
+daemon that finds no other one, or none that answers, reads the rows again after writing its own.
+Rows don't expire; one daemon, selected each time, deletes the rows of daemons that have ended.
 """
 
 from __future__ import annotations
@@ -22,51 +22,54 @@
 from hornbeamgw.daemon.presence import (
     BACKOFF_MAX_S,
     BACKOFF_S,
-    REWRITE_WITHIN_S,
-    SERVER_AWAITED_S,
+    REWRITE_MAX_DELAY_S,
+    SERVER_ANNOUNCEMENT_TIMEOUT_S,
     TABLE,
     OwnRow,
-    member_of,
+    decode_member,
 )
 
 log = logging.getLogger(__name__)
 
-# Several at once, for some rows are of daemons that are gone.
-PEERS_TO_JOIN = 4
-# Where the whole fleet starts for the first time, all rows are there a moment after all servers
-# have told of themselves; each daemon then reads them once and needs to tell nobody.
-FIRST_READ_AFTER_S = SERVER_AWAITED_S + 0.5
-REWRITTEN_S = 0.3  # for a write, and for the daemons to hear of the store's new era
-# Probes go out once a second; a fleet of which none was heard of for so long has other rows by now.
-NOBODY_HEARD_S = 3.0
-# Once in two minutes at 950 daemons costs the one that sweeps two calls and 100 KB.
-SWEEP_EVERY_S = 120.0
-SWEEPERS = 1
-
-
-def members_of(page: RowPage) -> list[Member]:
-    """Return the members that rows hold; one that can't be read is left out and logged."""
+# Several members are contacted at once, since some may have ended.
+MAX_JOIN_PEERS = 4
+# When the whole fleet starts for the first time, daemons read the rows after all of them have been
+# written, which is shortly after the servers' first announcements.
+FIRST_READ_DELAY_S = SERVER_ANNOUNCEMENT_TIMEOUT_S + 0.5
+# Allowance for the daemons to learn of the store's new era and to write their rows.
+REWRITE_MARGIN_S = 0.3
+# A daemon that receives no message for about this time reads the rows again. Probes are sent once a
+# second.
+NO_CONTACT_RETRY_S = 3.0
+SWEEP_INTERVAL_S = 120.0
+SWEEPER_COUNT = 1
+
+
+def decode_members(page: RowPage) -> list[Member]:
+    """Return the members in a page of rows; invalid rows are logged and skipped."""
     found = []
     for row in page.rows:
         try:
-            found.append(member_of(row))
+            found.append(decode_member(row))
         except ValueError as error:
-            log.warning("row of a daemon unreadable", extra={"key": row.key, "error": str(error)})
+            log.warning(
+                "directory row is invalid; skipping it", extra={"key": row.key, "error": str(error)}
+            )
     return found
 
 
-def ended_rows(page: RowPage, members_by_address: dict[str, Member]) -> list[StoredRow]:
-    """Return the rows of daemons that are believed to have ended."""
-    ended = []
+def rows_of_dead_daemons(page: RowPage, members_by_address: dict[str, Member]) -> list[StoredRow]:
+    """Return the rows of daemons that are known as dead or left."""
+    dead = []
     for row in page.rows:
         member = members_by_address.get(row.key)
         if member is not None and member.status >= Status.DEAD:
-            ended.append(row)
-    return ended
+            dead.append(row)
+    return dead
 
 
 class Directory:
-    """Own how this daemon joins the fleet."""
+    """The way in which a daemon joins the fleet through the platform's store."""
 
     def __init__(
         self,
@@ -76,10 +79,10 @@
         own_row: OwnRow,
         is_first_start: bool = False,
     ) -> None:
-        """Take the control to feed, the rows, one's own, and whether the fleet is all new."""
-        self.joined = asyncio.Event()
-        self.met = asyncio.Event()
-        self.is_empty = False  # nobody had a row when this daemon looked first
+        """Create a directory; `is_first_start` is whether the whole fleet has just been created."""
+        self.joined = asyncio.Event()  # set after the first attempt to join, even if it failed
+        self.view_received = asyncio.Event()
+        self.is_empty = False  # whether the first read found no other daemon
         self._control = control
         self._rows = rows
         self._rng = rng
@@ -87,21 +90,21 @@
         self._is_first_start = is_first_start
 
     async def run(self) -> None:
-        """Join, and from then on sweep when it is this daemon's turn."""
+        """Join the fleet, and then delete rows of ended daemons when selected for it."""
         self._control.spawn(self._own_row.run())
         if self._is_first_start:
             self._own_row.found(None)
-            await asyncio.sleep(FIRST_READ_AFTER_S)
+            await asyncio.sleep(FIRST_READ_DELAY_S)
         await self._join()
-        while not self._control.has_heard_others:
-            await asyncio.sleep(NOBODY_HEARD_S * self._rng.uniform(0.8, 1.2))
-            if not self._control.has_heard_others:
+        while not self._control.has_had_contact:
+            await asyncio.sleep(NO_CONTACT_RETRY_S * self._rng.uniform(0.8, 1.2))
+            if not self._control.has_had_contact:
                 await self._own_row.write()
                 await self._join()
         while True:
-            await asyncio.sleep(SWEEP_EVERY_S * self._rng.uniform(0.8, 1.2))
+            await asyncio.sleep(SWEEP_INTERVAL_S * self._rng.uniform(0.8, 1.2))
             members = membership.reachable(self._control.view)
-            sweepers = select_members("sweeper", members, SWEEPERS)
+            sweepers = select_members("sweeper", members, SWEEPER_COUNT)
             if any(m.address == self._control.view.me.address for m in sweepers):
                 await self._sweep()
 
@@ -113,7 +116,9 @@
                 break
             except PlatformError as error:
                 failures += 1
-                log.warning("directory not reached", extra={"error": str(error), "try": failures})
+                log.warning(
+                    "directory read failed; retrying", extra={"error": str(error), "try": failures}
+                )
             self.joined.set()
             ceiling = min(BACKOFF_MAX_S, BACKOFF_S * 2**failures)
             await asyncio.sleep(self._rng.uniform(ceiling / 2, ceiling))
@@ -122,37 +127,37 @@
             await self._own_row.write()
             found = await self._read_again()
         if not found and self._control.node.era:
-            # A store that came back from a copy may have lost the rows; they are written again.
-            await asyncio.sleep(REWRITE_WITHIN_S + REWRITTEN_S)
+            # A store restored from a backup may have lost the rows; daemons write them again.
+            await asyncio.sleep(REWRITE_MAX_DELAY_S + REWRITE_MARGIN_S)
             found = await self._read_again()
         self.joined.set()
-        await self._meet(found)
-        self.met.set()
+        await self._add_discovered(found)
+        self.view_received.set()
 
     async def _read(self) -> list[Member]:
-        """Return the other daemons that have a row; raise PlatformError."""
+        """Return the members of all rows except this daemon's; raise PlatformError."""
         own = self._control.view.me.address
         page = await self._rows.read(TABLE)
         self._control.note_era(page.era)
         self._own_row.found(next((row for row in page.rows if row.key == own), None))
-        found = [member for member in members_of(page) if member.address != own]
-        self._own_row.tell_findings(page)
-        told = {"daemons": len(found), "state": page.state, "era": page.era}
-        log.info("directory read", extra=told)
+        found = [member for member in decode_members(page) if member.address != own]
+        self._own_row.report_findings(page)
+        fields = {"daemons": len(found), "state": page.state, "era": page.era}
+        log.info("directory read", extra=fields)
         return found
 
     async def _read_again(self) -> list[Member]:
         try:
             return await self._read()
         except PlatformError as error:
-            log.warning("directory not reached", extra={"error": str(error)})
+            log.warning("directory read failed", extra={"error": str(error)})
             return []
 
-    async def _meet(self, found: list[Member]) -> None:
+    async def _add_discovered(self, found: list[Member]) -> None:
         known = self._control.view.members_by_address
-        fresh = found if self._is_first_start else list(map(membership.without_servers, found))
-        self._control.meet([m for m in fresh if m.address not in known])
-        others = self._rng.sample(found, min(PEERS_TO_JOIN, len(found)))
+        records = found if self._is_first_start else list(map(membership.without_servers, found))
+        self._control.add_discovered([m for m in records if m.address not in known])
+        others = self._rng.sample(found, min(MAX_JOIN_PEERS, len(found)))
         if self._is_first_start:
             others = others[:1]
         await asyncio.gather(*(self._control.reconcile(m.address) for m in others))
@@ -162,10 +167,12 @@
     async def _sweep(self) -> None:
         try:
             page = await self._rows.read(TABLE)
-            for row in ended_rows(page, self._control.view.members_by_address):
+            for row in rows_of_dead_daemons(page, self._control.view.members_by_address):
                 if page.era != (self._control.node.era or 0):
-                    return  # States of another era tell nothing of what is there now.
+                    return  # Row states of another era can't be used for conditional writes.
                 await self._rows.write(TABLE, row.key, None, row.state)
-                log.info("row of an ended daemon deleted", extra={"key": row.key})
+                log.info("deleted directory row of an ended daemon", extra={"key": row.key})
         except PlatformError as error:
-            log.warning("sweep failed", extra={"error": str(error)})
+            log.warning(
+                "deleting directory rows of ended daemons failed", extra={"error": str(error)}
+            )
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -93,17 +93,17 @@
         dialect = dialects_by_name[settings.calls_dialect]
         self.control = Control(settings, me, rng)
         self.quarantine = Quarantine(me, self._publish_findings)
-        self.control.on_news.append(self.quarantine.hear)
+        self.control.on_member_report.append(self.quarantine.hear)
         allowed = ExposureBound(settings.rollouts_share, settings.rollouts_slack)
         self.rollouts = Rollouts(allowed, self._publish_standings)
-        self.control.on_news.append(self.rollouts.hear_member)
+        self.control.on_member_report.append(self.rollouts.receive_member)
         source = sources.factories_by_name[settings.source](
             self.control, platform, settings.platform_poll, rng, settings.platform_adapter
         )
         own_row = None if platform.rows is None else OwnRow(platform.rows, me, self.quarantine.hear)
         self._own_row = own_row
         if own_row is not None:
-            self.control.on_era.append(lambda era: own_row.note_era())
+            self.control.on_era.append(lambda era: own_row.rewrite_after_restore())
         directory = _directory(settings, self.control, platform, rng, own_row)
         self.reader = Reader(self.control, source, rng, directory)
         self.leader = _leader(settings, self.control, platform, source, self.rollouts, self.reader)
@@ -121,7 +121,7 @@
             )
         )
         crossed = self.control.meter.crossed
-        self.links = Links(lambda: self.control.hello, self.control.fault, crossed)
+        self.links = Links(lambda: self.control.hello, self.control.record_fault, crossed)
         choose = balancing.chooser_of(settings.calls_balancing)
         exposed = self.rollouts.state
         servers = Servers(self.links, choose, rng, self.gates.own_outlook, exposed)
@@ -197,7 +197,7 @@
         if is_urgent:
             self.control.announce_everywhere()
         if self._own_row is not None:
-            self._own_row.note_findings(kept)
+            self._own_row.set_findings(kept)
 
     def _publish_standings(self, standings: tuple[RolloutStatus, ...], is_urgent: bool) -> None:
         self.control.update_me(standings=standings)
@@ -229,7 +229,7 @@
         self.control.spawn(self.reader.poll_loop())
         self.control.spawn(self._check_loop())
         if self.leader is not None:
-            self.reader.watches_closely = self.rollouts.has_undecided
+            self.reader.needs_short_watch = self.rollouts.has_undecided
             self.control.spawn(self.leader.run())
             send = self.control.send_tally
             tallies = send_tallies(self.gates, self.rollouts, self._leaders_of, send)
--- a/hornbeamgw/daemon/peers.py
+++ b/hornbeamgw/daemon/peers.py
@@ -32,7 +32,7 @@
         self._server = await loop.create_server(self._accept, host, port, backlog=1024)
 
     def _accept(self) -> Link:
-        link = Link(self._control.hello, self._on_frame, self._on_lost, self._control.fault)
+        link = Link(self._control.hello, self._on_frame, self._on_lost, self._control.record_fault)
         link.crossed = self._control.meter.crossed
         self.links.add(link)
         return link
--- a/hornbeamgw/daemon/rollouts/orders.py
+++ b/hornbeamgw/daemon/rollouts/orders.py
@@ -1,4 +1,4 @@
-"""Orders: the rows in which operators ask for rollouts, and those that tell how they stand."""
+"""Rows in the platform's store with operators' rollout orders and their status."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class WrittenOrder(NamedTuple):
-    """Hold an order as it is written; the duration is in seconds."""
+    """Rollout order as an operator wrote it; the duration is in seconds."""
 
     service: str
     target: str
@@ -18,15 +18,15 @@
 
 
 class Progress(enum.StrEnum):
-    """Say how far an order has come, as operators read it."""
+    """Progress of an order, as reported to operators."""
 
     RUNNING = "running"
     COMPLETED = "completed"
     ROLLED_BACK = "rolled back"
 
 
-class Status(NamedTuple):
-    """Hold what operators read of an order."""
+class OrderStatus(NamedTuple):
+    """Status of an order, as reported to operators."""
 
     progress: Progress
     target: str
@@ -36,17 +36,17 @@
 
 
 class OrderRows(NamedTuple):
-    """Hold where orders and their status are kept, and how they are worded.
+    """Tables, keys and encoding of orders and their status.
 
-    A service's name follows the prefix in the key of either row. Decoders raise ValueError.
+    The key of both rows is the prefix followed by the service's name. Decoders raise ValueError.
     """
 
     table: str
     prefix: str
     decode: Callable[[bytes], WrittenOrder]
     status_table: str
-    encode_status: Callable[[Status], bytes]
-    decode_status: Callable[[bytes], Status]
+    encode_status: Callable[[OrderStatus], bytes]
+    decode_status: Callable[[bytes], OrderStatus]
 
 
 order_rows_by_name: dict[str, OrderRows] = {}
--- a/hornbeamgw/daemon/rollouts/rollouts.py
+++ b/hornbeamgw/daemon/rollouts/rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts: what this daemon knows of rollouts, what it tells of them, and what it may send."""
+"""Rollout statuses that a daemon receives and publishes."""
 
 from __future__ import annotations
 
@@ -15,73 +15,75 @@
 
 log = logging.getLogger(__name__)
 
-# What one's record carries, and whether all must hear at once.
+# Publishes statuses in this daemon's record; the flag is whether to send the record at once.
 Publish = Callable[[tuple[RolloutStatus, ...], bool], None]
 
 
 class Rollouts:
-    """Own the standings of rollouts, and what was spent on versions on trial."""
+    """Statuses of all rollouts and the exposure of versions on trial."""
 
     def __init__(self, bound: ExposureBound, publish: Publish) -> None:
-        """Take what a version on trial may get, and what carries standings to the others."""
+        """Create a state without rollouts; `bound` limits the requests to versions on trial."""
         self.state = ExposureState(bound)
         self.counts: Counter[str] = Counter()
-        self.on_heard: list[Callable[[RolloutStatus], None]] = []
+        self.on_status: list[Callable[[RolloutStatus], None]] = []
         self._publish = publish
-        self._told_by_version: dict[tuple[str, str], RolloutStatus] = {}
+        self._published_by_version: dict[tuple[str, str], RolloutStatus] = {}
 
-    def hear_member(self, member: Member) -> None:
-        """Take the standings in the record of a daemon."""
-        for standing in member.standings:
-            self._hear(standing, member.address)
+    def receive_member(self, member: Member) -> None:
+        """Receive the rollout statuses in a daemon's membership record."""
+        for status in member.standings:
+            self._receive(status, member.address)
 
-    def hear(self, standing: RolloutStatus) -> None:
-        """Take how a rollout stands, as it was read."""
-        self._hear(standing, "the platform")
+    def hear(self, status: RolloutStatus) -> None:
+        """Receive the status of a rollout that was read from the platform."""
+        self._receive(status, "the platform")
 
-    def tells(self, standing: RolloutStatus) -> bool:
-        """Return whether this daemon's own record tells of a standing."""
-        return standing in self._told_by_version.values()
+    def is_published(self, status: RolloutStatus) -> bool:
+        """Return whether this daemon's record contains a status."""
+        return status in self._published_by_version.values()
 
-    def _hear(self, standing: RolloutStatus, source: str) -> bool:
-        if not exposure.receive(self.state, standing, asyncio.get_running_loop().time()):
+    def _receive(self, status: RolloutStatus, source: str) -> bool:
+        if not exposure.receive(self.state, status, asyncio.get_running_loop().time()):
             return False
-        self.counts[f"heard.{standing.phase.name.lower()}"] += 1
-        log.info("rollout", extra={**_told(standing), "told_by": source})
-        for callback in self.on_heard:
-            callback(standing)
+        self.counts[f"heard.{status.phase.name.lower()}"] += 1
+        log.info("rollout status changed", extra={**_status_fields(status), "told_by": source})
+        for callback in self.on_status:
+            callback(status)
         return True
 
-    def tell(self, standing: RolloutStatus, is_urgent: bool) -> None:
-        """Tell the fleet how a rollout stands, in this daemon's own record."""
-        self._hear(standing, "this daemon")
-        latest = self.state.status_by_version[standing.service, standing.target]
-        self._told_by_version[standing.service, standing.target] = latest
-        newest = sorted(self._told_by_version.values(), key=lambda told: told.number)
+    def publish_status(self, status: RolloutStatus, is_urgent: bool) -> None:
+        """Publish the status of a rollout in this daemon's record."""
+        self._receive(status, "this daemon")
+        latest = self.state.status_by_version[status.service, status.target]
+        self._published_by_version[status.service, status.target] = latest
+        newest = sorted(self._published_by_version.values(), key=lambda published: published.number)
         kept = newest[-MAX_ROLLOUT_STATUSES:]
-        self._told_by_version = {(told.service, told.target): told for told in kept}
+        self._published_by_version = {
+            (published.service, published.target): published for published in kept
+        }
         self._publish(tuple(kept), is_urgent)
 
     def undecided(self, service: str) -> RolloutStatus | None:
-        """Return how the rollout of a service stands, None where there is none to decide."""
+        """Return the status of the undecided rollout of a service, or None."""
         current = self.state.current_by_service.get(service)
         return None if current is None or current.is_final else current
 
     def has_undecided(self) -> bool:
-        """Return whether any rollout is to be decided."""
+        """Return whether any rollout is undecided."""
         return any(not current.is_final for current in self.state.current_by_service.values())
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return each rollout as this daemon sees it, and what it has sent there itself."""
+        """Return the status of each rollout and this daemon's counts of its requests."""
         rows = []
-        for version, standing in self.state.status_by_version.items():
-            spent = self.state.counts_by_version[version]
-            told = {"reached": spent.reached, "sent": spent.sent}
-            told |= {"answers": spent.answers, "bad": spent.bad}
-            rows.append({**_told(standing), **told})
+        for version, status in self.state.status_by_version.items():
+            counts = self.state.counts_by_version[version]
+            usage = {"reached": counts.reached, "sent": counts.sent}
+            usage |= {"answers": counts.answers, "bad": counts.bad}
+            rows.append({**_status_fields(status), **usage})
         return rows
 
 
-def _told(standing: RolloutStatus) -> dict[str, Any]:
-    named = {"phase": standing.phase.name.lower(), "closing": standing.closing.name.lower()}
-    return {**standing._asdict(), **named}
+def _status_fields(status: RolloutStatus) -> dict[str, Any]:
+    names = {"phase": status.phase.name.lower(), "closing": status.closing.name.lower()}
+    return {**status._asdict(), **names}
--- a/hornbeamgw/daemon/rollouts/statuses.py
+++ b/hornbeamgw/daemon/rollouts/statuses.py
@@ -1,4 +1,4 @@
-"""Statuses: the rows that tell operators how their orders stand, written under conditions."""
+"""Status rows of rollout orders, written conditionally."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from hornbeamgw.backends.rows import RowStore, StoredRow
 from hornbeamgw.core.standing import Phase, RolloutStatus
-from hornbeamgw.daemon.rollouts.orders import PROGRESS_BY_PHASE, OrderRows, Progress, Status
+from hornbeamgw.daemon.rollouts.orders import PROGRESS_BY_PHASE, OrderRows, OrderStatus, Progress
 
 log = logging.getLogger(__name__)
 
 PHASE_BY_PROGRESS = {progress: phase for phase, progress in PROGRESS_BY_PHASE.items()}
 
 
-class OrderPlace(NamedTuple):
-    """Hold which order a status is of: its target, and the row's state in an era of the store."""
+class OrderRevision(NamedTuple):
+    """Identity of an order: its target, and the state of its row in an era of the store."""
 
     service: str
     target: str
@@ -23,53 +23,59 @@
     era: int
 
 
-class Statuses:
-    """Read and write statuses; each call may raise PlatformError."""
+class StatusRows:
+    """Reads and writes of status rows; each call may raise PlatformError."""
 
     def __init__(self, rows: RowStore, order_rows: OrderRows) -> None:
-        """Take the store, and how statuses are worded there."""
+        """Create access to the status rows of `order_rows`."""
         self._rows = rows
         self._order_rows = order_rows
 
-    async def decided(self, order: OrderPlace) -> Phase | None:
-        """Return what was decided on an order, None where nothing was written."""
+    async def decision(self, order: OrderRevision) -> Phase | None:
+        """Return the decision on an order, or None if none is stored."""
         row, era = await self._read(order.service)
-        return self._decided(order, row, era)
+        return self._decision(order, row, era)
 
-    async def write(self, standing: RolloutStatus, order: OrderPlace) -> Phase:
-        """Write how an order stands unless another was decided before; return what holds then."""
-        progress = PROGRESS_BY_PHASE.get(standing.phase, Progress.RUNNING)
-        wanted = Status(progress, standing.target)
+    async def write(self, rollout_status: RolloutStatus, order: OrderRevision) -> Phase:
+        """Write the status of an order unless a decision is stored; return the phase in effect."""
+        progress = PROGRESS_BY_PHASE.get(rollout_status.phase, Progress.RUNNING)
+        order_status = OrderStatus(progress, rollout_status.target)
         while True:
             row, era = await self._read(order.service)
-            decided = self._decided(order, row, era)
-            if decided is not None:
-                return decided
-            if row is not None and self._decode(row) == wanted:
-                return standing.phase
-            value = self._order_rows.encode_status(wanted)
+            decision = self._decision(order, row, era)
+            if decision is not None:
+                return decision
+            if row is not None and self._decode(row) == order_status:
+                return rollout_status.phase
+            value = self._order_rows.encode_status(order_status)
             table, key = self._order_rows.status_table, self._order_rows.prefix + order.service
             if await self._rows.write(table, key, value, row.state if row is not None else 0):
-                log.info("status written", extra={"service": order.service, **wanted._asdict()})
-                return standing.phase
+                log.info(
+                    "rollout order status written",
+                    extra={"service": order.service, **order_status._asdict()},
+                )
+                return rollout_status.phase
 
     async def _read(self, service: str) -> tuple[StoredRow | None, int]:
         key = self._order_rows.prefix + service
         page = await self._rows.read(self._order_rows.status_table, key)
         return next((row for row in page.rows if row.value is not None), None), page.era
 
-    def _decode(self, row: StoredRow) -> Status | None:
+    def _decode(self, row: StoredRow) -> OrderStatus | None:
         try:
             return self._order_rows.decode_status(row.value or b"")
         except ValueError as error:
-            log.warning("status unreadable", extra={"key": row.key, "error": str(error)})
+            log.warning(
+                "rollout order status is invalid; ignoring it",
+                extra={"key": row.key, "error": str(error)},
+            )
             return None
 
-    def _decided(self, order: OrderPlace, row: StoredRow | None, era: int) -> Phase | None:
-        told = None if row is None else self._decode(row)
-        if row is None or told is None or told.target != order.target:
+    def _decision(self, order: OrderRevision, row: StoredRow | None, era: int) -> Phase | None:
+        stored = None if row is None else self._decode(row)
+        if row is None or stored is None or stored.target != order.target:
             return None
-        # States of another era tell nothing of what was written first.
+        # States of different eras can't be compared.
         if era != order.era or row.state < order.row_state:
             return None
-        return PHASE_BY_PROGRESS.get(told.progress)
+        return PHASE_BY_PROGRESS.get(stored.progress)
--- a/hornbeamgw/daemon/rollouts/tallies.py
+++ b/hornbeamgw/daemon/rollouts/tallies.py
@@ -1,4 +1,4 @@
-"""Tallies: tells those who lead a rollout what was counted at the servers beside this daemon."""
+"""Sending of request counts of local backend servers to the leaders of rollouts."""
 
 from __future__ import annotations
 
@@ -10,34 +10,35 @@
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.rollouts.rollouts import Rollouts
 
-# A version that is bad is to be found within its first few dozens of answers.
-NEW_EVERY_S = 0.15
-# What is seen beside changes slowly, and comes from many more servers.
-BEFORE_EVERY_S = 1.0
-CHECK_S = 0.15
+# Short, so that a bad version is detected within its first few dozen answers.
+NEW_SERVER_INTERVAL_S = 0.15
+# Counts of old servers change slowly and come from many more servers.
+OLD_SERVER_INTERVAL_S = 1.0
+CHECK_INTERVAL_S = 0.15
 
 Send = Callable[[Sequence[str], Tally], None]
 LeadersOf = Callable[[str], Sequence[str]]
 
 
 async def send_tallies(gates: Gates, rollouts: Rollouts, leaders_of: LeadersOf, send: Send) -> None:
-    """Tell what is new at each server whose service is rolled out, as long as the daemon runs."""
+    """Send the changed tallies of servers whose service is being rolled out, until cancelled."""
     sent_by_server: dict[int, tuple[float, Tally]] = {}
     loop = asyncio.get_running_loop()
     while True:
-        await asyncio.sleep(CHECK_S)
+        await asyncio.sleep(CHECK_INTERVAL_S)
         if not rollouts.has_undecided():
             continue
         for tally in gates.tallies(loop.time()):
-            standing = rollouts.undecided(tally.service)
-            if standing is None:
+            status = rollouts.undecided(tally.service)
+            if status is None:
                 sent_by_server.pop(tally.server, None)
                 continue
-            at, last = sent_by_server.get(tally.server, (0.0, None))
-            # The order is completed by what closed servers tell, so a datagram lost is made up for.
-            is_awaited = standing.closing is Closing.CLOSED
-            is_frequent = is_awaited or tally.software == standing.target
-            every = NEW_EVERY_S if is_frequent else BEFORE_EVERY_S
-            if (tally != last or is_awaited) and loop.time() - at >= every * 0.9:
+            sent_at, last = sent_by_server.get(tally.server, (0.0, None))
+            # Completion of the order depends on the tallies of closed servers, so these are resent
+            # even if unchanged in case a datagram was lost.
+            must_resend = status.closing is Closing.CLOSED
+            is_frequent = must_resend or tally.software == status.target
+            interval_s = NEW_SERVER_INTERVAL_S if is_frequent else OLD_SERVER_INTERVAL_S
+            if (tally != last or must_resend) and loop.time() - sent_at >= interval_s * 0.9:
                 sent_by_server[tally.server] = loop.time(), tally
                 send(leaders_of(tally.service), tally)
--- a/hornbeamgw/daemon/sources.py
+++ b/hornbeamgw/daemon/sources.py
@@ -221,7 +221,7 @@
         if head.version <= self._control.versions.catalogue.version or head.content is None:
             return False
         origin = Origin(ArrivalPath.PLATFORM, PLATFORM)
-        return self._control.learn_whole(head.version, head.content, origin)
+        return self._control.learn_version(head.version, head.content, origin)
 
 
 SourceFactory = Callable[[Control, Platform, float, random.Random, str], Source]
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -150,7 +150,7 @@
     Mutant(
         "a daemon that starts takes what its peers have in force",
         "hornbeamgw/daemon/reader.py",
-        (("        await self._pull_beyond(head)\n", ""),),
+        (("        await self._pull_newer_than(head)\n", ""),),
         ERA,
     ),
     Mutant(
