--- a/hornbeamgw/daemon/directory.py
+++ b/hornbeamgw/daemon/directory.py
@@ -131,7 +131,7 @@
             await asyncio.sleep(REWRITE_MAX_DELAY_S + REWRITE_MARGIN_S)
             found = await self._read_again()
         self.joined.set()
-        await self._add_discovered(found)
+        await self._contact_members(found)
         self.view_received.set()
 
     async def _read(self) -> list[Member]:
@@ -153,7 +153,7 @@
             log.warning("directory read failed", extra={"error": str(error)})
             return []
 
-    async def _add_discovered(self, found: list[Member]) -> None:
+    async def _contact_members(self, found: list[Member]) -> None:
         known = self._control.view.members_by_address
         records = found if self._is_first_start else list(map(membership.without_servers, found))
         self._control.add_discovered([m for m in records if m.address not in known])
--- a/hornbeamgw/daemon/presence.py
+++ b/hornbeamgw/daemon/presence.py
@@ -95,7 +95,7 @@
     servers = _servers_decoder.decode(raw) or ()
     for known in servers:
         if not is_address(known.address):
-            raise ValueError(f"address {known.address!r}, expected an IP number and a port")
+            raise ValueError(f"address {known.address!r}, expected an IP address and a port")
         if not 1 <= known.slots <= MAX_SLOTS:
             raise ValueError(f"slots {known.slots!r}, expected 1 to {MAX_SLOTS}")
     return servers
@@ -177,7 +177,7 @@
             async with asyncio.timeout(SERVER_ANNOUNCEMENT_TIMEOUT_S):
                 await self._changed.wait()
         except TimeoutError:
-            # The stored row may name a server whose health has not been checked yet.
+            # Keep the stored row for now: its servers may not have been checked yet.
             if self._stored is not None and _location_fields(
                 self._stored.member
             ) == _location_fields(self._me):
