--- a/hornbeamgw/daemon/directory.py
+++ b/hornbeamgw/daemon/directory.py
@@ -142,7 +142,7 @@
         self._own_row.found(next((row for row in page.rows if row.key == own), None))
         found = [member for member in decode_members(page) if member.address != own]
         self._own_row.report_findings(page)
-        fields = {"daemons": len(found), "state": page.state, "era": page.era}
+        fields = {"daemons": len(found), "state": page.revision, "era": page.era}
         log.info("directory read", extra=fields)
         return found
 
@@ -169,8 +169,8 @@
             page = await self._rows.read(TABLE)
             for row in rows_of_dead_daemons(page, self._control.view.members_by_address):
                 if page.era != (self._control.node.era or 0):
-                    return  # Row states of another era can't be used for conditional writes.
-                await self._rows.write(TABLE, row.key, None, row.state)
+                    return  # Row revisions of another era can't be used for conditional writes.
+                await self._rows.write(TABLE, row.key, None, row.revision)
                 log.info("deleted directory row of an ended daemon", extra={"key": row.key})
         except PlatformError as error:
             log.warning(
--- a/hornbeamgw/daemon/rollouts/leader.py
+++ b/hornbeamgw/daemon/rollouts/leader.py
@@ -27,13 +27,13 @@
 STATUS_RETRY_MAX_S = 0.8
 # The platform counts as unreachable after this time without a read. A watch returns within 1.5 s.
 PLATFORM_TIMEOUT_S = 2.5
-# An order's number is composed of the store's era and the state of the row within the era.
-MAX_STATES_PER_ERA = 1 << 44
+# An order's number is composed of the store's era and the revision of the row within the era.
+MAX_REVISIONS_PER_ERA = 1 << 44
 
 
 class _LedOrder(NamedTuple):
     state: RolloutState
-    row_state: int
+    row_revision: int
     era: int
 
 
@@ -95,23 +95,23 @@
                 extra={"key": row.key, "service": written.service},
             )
             return
-        number = era * MAX_STATES_PER_ERA + row.state
-        self._on_order(Order(*written, number), row.state, era)
+        number = era * MAX_REVISIONS_PER_ERA + row.revision
+        self._on_order(Order(*written, number), row.revision, era)
 
-    def _on_order(self, order: Order, row_state: int, era: int) -> None:
+    def _on_order(self, order: Order, row_revision: int, era: int) -> None:
         led_order = self._led_orders_by_service.get(order.service)
         if led_order is not None and order.number <= led_order.state.order.number:
             return
         if led_order is not None and led_order.era < era and order[:3] == led_order.state.order[:3]:
             # The store was restored from a backup, and the operator has written the order again.
             self._led_orders_by_service[order.service] = led_order._replace(
-                row_state=row_state, era=era
+                row_revision=row_revision, era=era
             )
             return
         now = asyncio.get_running_loop().time()
         state = RolloutState(order, self._rollouts.state.bound, now)
         log.info("rollout order received", extra=order._asdict())
-        self._led_orders_by_service[order.service] = _LedOrder(state, row_state, era)
+        self._led_orders_by_service[order.service] = _LedOrder(state, row_revision, era)
         known = self._rollouts.state.status_by_version.get((order.service, order.target))
         self._has_work.set()
         if known is not None and rollout.hear(state, known, now):
@@ -250,7 +250,7 @@
     def _order_revision(self, service: str) -> OrderRevision:
         led_order = self._led_orders_by_service[service]
         return OrderRevision(
-            service, led_order.state.order.target, led_order.row_state, led_order.era
+            service, led_order.state.order.target, led_order.row_revision, led_order.era
         )
 
     def _spawn(self, coroutine: Any) -> asyncio.Task[None]:
--- a/hornbeamgw/daemon/rollouts/statuses.py
+++ b/hornbeamgw/daemon/rollouts/statuses.py
@@ -15,11 +15,11 @@
 
 
 class OrderRevision(NamedTuple):
-    """Identity of an order: its target, and the state of its row in an era of the store."""
+    """Identity of an order: its target, and the revision of its row in an era of the store."""
 
     service: str
     target: str
-    row_state: int
+    row_revision: int
     era: int
 
 
@@ -49,7 +49,7 @@
                 return rollout_status.phase
             value = self._order_rows.encode_status(order_status)
             table, key = self._order_rows.status_table, self._order_rows.prefix + order.service
-            if await self._rows.write(table, key, value, row.state if row is not None else 0):
+            if await self._rows.write(table, key, value, row.revision if row is not None else 0):
                 log.info(
                     "rollout order status written",
                     extra={"service": order.service, **order_status._asdict()},
@@ -75,7 +75,7 @@
         stored = None if row is None else self._decode(row)
         if row is None or stored is None or stored.target != order.target:
             return None
-        # States of different eras can't be compared.
-        if era != order.era or row.state < order.row_state:
+        # Revisions of different eras can't be compared.
+        if era != order.era or row.revision < order.row_revision:
             return None
         return PHASE_BY_PROGRESS.get(stored.progress)
