--- a/features/servers.feature
+++ b/features/servers.feature
@@ -24,6 +24,11 @@
     When the server "i-2" of version "v2" with 3 slots is started alongside
     Then a call that names no server runs at "i-1" alone
 
+  @known_red
+  Scenario: A restarted daemon that knows no server yet refuses a call instead of ending the link
+    When the daemon restarts and no server has announced itself yet
+    Then a call that names no server is refused as not run, with a finite wait
+
   Scenario: What became of an attempt is asked of the gate that had it
     When the server "i-2" of version "v2" with 3 slots is started alongside
     And a call for "i-2" runs
--- a/features/steps/servers.py
+++ b/features/steps/servers.py
@@ -15,7 +15,7 @@
 from hornbeamgw.core.registration import Departure, Heartbeat
 from hornbeamgw.core.snapshot import EMPTY_SNAPSHOT, Limits
 from hornbeamgw.core.spreading import Have
-from hornbeamgw.core.verdict import Verdict
+from hornbeamgw.core.verdict import Reason, Verdict
 from hornbeamgw.daemon import datagrams, frames, heads
 from hornbeamgw.daemon.adoption import Adoption
 from hornbeamgw.daemon.announcements import Announcements
@@ -23,6 +23,7 @@
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.http_server import HttpServer, Timeouts, read_body, send_response
 from hornbeamgw.daemon.presence import TABLE, OwnRow, decode_member
+from hornbeamgw.daemon.server_exchange import MAX_REPORTED_WAIT_MS
 from hornbeamgw.testing.asker import Asker
 from hornbeamgw.testing.local import wait_for
 
@@ -167,6 +168,16 @@
     context.runner.run(again())
 
 
+@when("the daemon restarts and no server has announced itself yet")
+def restarts_without_server(context):
+    async def again():
+        context.writing.cancel()
+        begin_daemon(context)
+
+    context.runner.run(again())
+    assert not context.gates.announced(), context.gates.announced()
+
+
 def records(context):
     return membership.split_by_server(context.view.me)
 
@@ -259,6 +270,17 @@
     assert answer.failure.verdict is Verdict.NOT_RUN, answer
 
 
+@then("a call that names no server is refused as not run, with a finite wait")
+def refused_with_finite_wait(context):
+    answer = context.runner.run(call(context, 0))
+    assert context.asker.sent == [answer], context.asker.sent
+    assert isinstance(answer, frames.Refusal), answer
+    assert answer.failure.verdict is Verdict.NOT_RUN, answer
+    assert answer.failure.reason is Reason.NO_BACKEND, answer
+    assert answer.free_slots == 0 and 0 <= answer.wait_ms <= MAX_REPORTED_WAIT_MS, answer
+    assert [server.runs for server in context.servers_by_name.values()] == [0], answer
+
+
 @then('it may have run by the word for "{name}", and an unknown one never will')
 def resolved(context, name):
     server = number_of(context, name)
