--- a/features/steps/findings.py
+++ b/features/steps/findings.py
@@ -194,11 +194,11 @@
     async def run():
         rows, published = OneRow(), []
         before = OwnRow(rows, ME)
-        before.note_findings(quarantine.persistent_findings(context.state))
+        before.set_findings(quarantine.persistent_findings(context.state))
         await before.write()
         me = ME._replace(incarnation=ME.incarnation + 1)
         context.anew = Quarantine(me, lambda findings, kept, urgent: published.append(findings))
-        OwnRow(rows, me, context.anew.receive).tell_findings(RowPage([rows.row], 1, 0.0))
+        OwnRow(rows, me, context.anew.receive).report_findings(RowPage([rows.row], 1, 0.0))
         context.refusals = [context.anew.refusal(number_for("cause"))]
         context.published = published
 
@@ -220,13 +220,15 @@
 @then("a record with {count:d} findings of 16 requests comes out of a message as it went in")
 def carried(context, count):
     member = with_findings(count)
-    frame = codec.decode_frame(codec.encode_frame(frames.View([member]))[codec.LENGTH_BYTES :])
+    frame = codec.decode_frame(
+        codec.encode_frame(frames.View([member]))[codec.LENGTH_PREFIX_BYTES :]
+    )
     assert frame.members == [member], frame
 
 
 @then("a record with {count:d} findings is refused")
 def too_many(context, count):
-    payload = codec.encode_frame(frames.View([with_findings(count)]))[codec.LENGTH_BYTES :]
+    payload = codec.encode_frame(frames.View([with_findings(count)]))[codec.LENGTH_PREFIX_BYTES :]
     try:
         codec.decode_frame(payload)
     except codec.CodecError:
--- a/hornbeamgw/daemon/adoption.py
+++ b/hornbeamgw/daemon/adoption.py
@@ -34,7 +34,7 @@
 
     def note(self, announcements: Iterable[Announcement]) -> None:
         """Store the announcements of the local servers, except those that are leaving."""
-        self._row.note(announcements)
+        self._row.set_servers(announcements)
 
     async def last_known(self) -> Sequence[Announcement]:
         """Return the announcements of the local servers from before this daemon was restarted."""
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -480,7 +480,9 @@
             if attempt.task is None or attempt.is_counted or attempt.answered_at:
                 continue
             is_cold = attempt.started_at < self.state.warm_at
-            limit = tally.slow_threshold(call.typical_ms / 1000, call.aim_ms / 1000, is_cold)
+            limit = tally.slow_threshold(
+                call.typical_service_ms / 1000, call.latency_objective_ms / 1000, is_cold
+            )
             if now - attempt.started_at > limit:
                 attempt.is_counted = True
                 tally.record(self.counts_by_route, call.route, True)
@@ -490,9 +492,9 @@
         if attempt.is_counted:
             return
         answered_at = attempt.answered_at or now
-        elapsed, typical = answered_at - attempt.started_at, attempt.call.typical_ms / 1000
+        elapsed, typical = answered_at - attempt.started_at, attempt.call.typical_service_ms / 1000
         is_cold = attempt.started_at < self.state.warm_at
-        latency_objective = attempt.call.aim_ms / 1000
+        latency_objective = attempt.call.latency_objective_ms / 1000
         bad = tally.is_bad(
             tally.AttemptOutcome(
                 failure, attempt.status, elapsed, typical, latency_objective, is_cold
--- a/hornbeamgw/daemon/link.py
+++ b/hornbeamgw/daemon/link.py
@@ -1,4 +1,4 @@
-"""Links: frames over one TCP connection between two daemons."""
+"""Links: exchange of frames over a TCP connection between two daemons."""
 
 from __future__ import annotations
 
@@ -11,25 +11,28 @@
 from hornbeamgw.daemon import codec, frames
 from hornbeamgw.daemon.compression import Compressor, Decompressor
 
-# An answer to a heartbeat takes 3 ms between data centres; a lost packet is sent again after
-# 0.2 s, so that silence of half a second is more than one loss.
-HEARTBEAT_AFTER_S = 0.15
-DOUBTED_AFTER_S = 0.5
-SILENT_AFTER_S = 1.2
+# Heartbeats are answered within milliseconds, and TCP retransmits a lost packet after 0.2 s. A link
+# becomes suspect only after more than one retransmission.
+HEARTBEAT_AFTER_IDLE_S = 0.15
+SUSPECT_AFTER_IDLE_S = 0.5
+LOST_AFTER_IDLE_S = 1.2
 
 
 class LinkLost(Exception):
-    """Say that a link broke or never opened."""
+    """A link broke or could not be opened."""
 
 
 def _is_between_data_centres(one: frames.Hello, other: frames.Hello) -> bool:
-    """Return whether two daemons name different data centres; one may name none."""
-    named = one.data_centre and other.data_centre
-    return bool(named) and one.data_centre != other.data_centre
+    """Return whether both daemons name a data centre, and these differ."""
+    both_named = one.data_centre and other.data_centre
+    return bool(both_named) and one.data_centre != other.data_centre
 
 
 class Link(asyncio.Protocol):
-    """Hold one connection, hand over its frames in order, and notice silence."""
+    """Connection to another daemon that delivers frames in order and detects a silent peer.
+
+    Frames are compressed, except for their bodies, between daemons in different data centres.
+    """
 
     def __init__(
         self,
@@ -38,13 +41,15 @@
         on_lost: Callable[[Link], None],
         on_fault: Callable[[str], None],
     ) -> None:
-        """Take one's own hello and what to call for frames, the end and faults."""
+        """Initialise with the own hello and callbacks for frames, link loss and protocol errors."""
         self.hello = hello
         self.peer: frames.Hello | None = None
-        self.peer_known: asyncio.Future[frames.Hello] = asyncio.get_running_loop().create_future()
+        self.hello_received: asyncio.Future[frames.Hello] = (
+            asyncio.get_running_loop().create_future()
+        )
         self.transport: asyncio.Transport | None = None
         self.lost = False
-        self.has_answered = False
+        self.ack_received = False
         self.received_at = 0.0
         self.bytes_in = 0
         self.bytes_out = 0
@@ -53,36 +58,41 @@
         self._on_fault = on_fault
         self._buffer = bytearray()
         self.crossed: Counter[str] = Counter()
-        # Nothing but one's own hello is sent before the other side's is known.
+        # Set when the hello of a peer in another data centre arrives. Only the own hello is sent
+        # before that.
         self._compressor: Compressor | None = None
         self._decompressor: Decompressor | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and say hello."""
+        """Store the transport and send the hello."""
         self.transport = cast(asyncio.Transport, transport)
         self.received_at = asyncio.get_running_loop().time()
         self.send(self.hello)
 
     def send(self, frame: frames.Frame) -> None:
-        """Write a frame; one to a lost link is dropped."""
+        """Send a frame; drop it if the link is lost."""
         if self.transport is None or self.lost:
             return
         if self._compressor is None:
             self._write(codec.encode_frame(frame))
             return
-        bare, body = codec.detach_body(frame)
-        head = self._compressor.shrink(codec.encode_frame(bare)[codec.LENGTH_BYTES :])
+        frame_without_body, body = codec.detach_body(frame)
+        head = self._compressor.compress(
+            codec.encode_frame(frame_without_body)[codec.LENGTH_PREFIX_BYTES :]
+        )
         kind = type(frame).__name__.lower()
-        self.crossed[f"{kind}.head"] += codec.LENGTH_BYTES + len(head)
+        self.crossed[f"{kind}.head"] += codec.LENGTH_PREFIX_BYTES + len(head)
         self.crossed[f"{kind}.body"] += len(body)
-        self._write(codec.framed(head + body))
+        self._write(codec.add_length_prefix(head + body))
 
     def send_encoded(self, payload: bytes) -> None:
-        """Write a frame that goes to several links; one to a lost link is dropped."""
+        """Send an encoded frame, as used to send one frame to several links; drop it if lost."""
         if self.transport is None or self.lost:
             return
         if self._compressor is not None:
-            payload = codec.framed(self._compressor.shrink(payload[codec.LENGTH_BYTES :]))
+            payload = codec.add_length_prefix(
+                self._compressor.compress(payload[codec.LENGTH_PREFIX_BYTES :])
+            )
             self.crossed["question.head"] += len(payload)
         self._write(payload)
 
@@ -92,52 +102,52 @@
         self.transport.write(payload)
 
     def data_received(self, data: bytes) -> None:
-        """Cut the bytes into frames; a bad one ends the link."""
+        """Split received bytes into frames; close the link on an invalid one."""
         self.received_at = asyncio.get_running_loop().time()
         self.bytes_in += len(data)
         self._buffer += data
         try:
-            self._take_frames()
+            self._read_frames()
         except codec.CodecError as error:
             self._on_fault(str(error))
             self.abort()
 
-    def _take_frames(self) -> None:
+    def _read_frames(self) -> None:
         buffer, start = self._buffer, 0
-        while len(buffer) - start >= codec.LENGTH_BYTES and not self.lost:
-            head = start + codec.LENGTH_BYTES
-            size = int.from_bytes(buffer[start:head], "big")
-            if size > codec.MAX_FRAME:
+        while len(buffer) - start >= codec.LENGTH_PREFIX_BYTES and not self.lost:
+            payload_start = start + codec.LENGTH_PREFIX_BYTES
+            size = int.from_bytes(buffer[start:payload_start], "big")
+            if size > codec.MAX_FRAME_BYTES:
                 raise codec.CodecError(
-                    f"a frame of {size} bytes, expected {codec.MAX_FRAME} at most"
+                    f"a frame of {size} bytes, expected {codec.MAX_FRAME_BYTES} at most"
                 )
-            if len(buffer) - head < size:
+            if len(buffer) - payload_start < size:
                 break
-            start = head + size
-            self._take_payload(bytes(buffer[head:start]))
+            start = payload_start + size
+            self._handle_payload(bytes(buffer[payload_start:start]))
         del buffer[:start]
 
-    def _take_payload(self, payload: bytes) -> None:
+    def _handle_payload(self, payload: bytes) -> None:
         if self._decompressor is None:
-            self._take(codec.decode_frame(payload))
+            self._handle_frame(codec.decode_frame(payload))
             return
         try:
-            head, body = self._decompressor.restore(payload, codec.MAX_FRAME)
+            head, body = self._decompressor.decompress(payload, codec.MAX_FRAME_BYTES)
         except ValueError as error:
             raise codec.CodecError(str(error)) from error
-        self._take(codec.attach_body(codec.decode_frame(head), body))
+        self._handle_frame(codec.attach_body(codec.decode_frame(head), body))
 
-    def _take(self, frame: frames.Frame) -> None:
+    def _handle_frame(self, frame: frames.Frame) -> None:
         if self.peer is None:
-            self._take_hello(frame)
+            self._handle_hello(frame)
         elif isinstance(frame, frames.Heartbeat):
-            self.has_answered = self.has_answered or not frame.asks
-            if frame.asks:
+            self.ack_received = self.ack_received or not frame.expects_reply
+            if frame.expects_reply:
                 self.send(frames.Heartbeat(False))
         else:
             self._on_frame(self, frame)
 
-    def _take_hello(self, frame: frames.Frame) -> None:
+    def _handle_hello(self, frame: frames.Frame) -> None:
         if not isinstance(frame, frames.Hello):
             raise codec.CodecError("a link that does not open with a hello")
         if frame.fleet != self.hello.fleet:
@@ -145,51 +155,51 @@
         self.peer = frame
         if _is_between_data_centres(self.hello, frame):
             self._compressor, self._decompressor = Compressor(), Decompressor()
-        if not self.peer_known.done():
-            self.peer_known.set_result(frame)
+        if not self.hello_received.done():
+            self.hello_received.set_result(frame)
 
-    def expect(self, now: float) -> None:
-        """Count silence from now on: nothing was waited for until now."""
+    def restart_idle_timer(self, now: float) -> None:
+        """Measure idle time from now, since no frames were expected until now."""
         self.received_at = max(self.received_at, now)
 
-    def check(self, now: float) -> None:
-        """Ask for a sign of life, and break a link that stays silent."""
+    def check_liveness(self, now: float) -> None:
+        """Send a heartbeat to an idle peer, and abort the link after LOST_AFTER_IDLE_S."""
         idle = now - self.received_at
-        if idle >= SILENT_AFTER_S:
+        if idle >= LOST_AFTER_IDLE_S:
             self._on_fault("silent link")
             self.abort()
-        elif idle >= HEARTBEAT_AFTER_S:
+        elif idle >= HEARTBEAT_AFTER_IDLE_S:
             self.send(frames.Heartbeat(True))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Report the end once."""
+        """Report the loss of the link, unless this has been done."""
         self._end()
 
     def _end(self) -> None:
         if self.lost:
             return
         self.lost = True
-        if not self.peer_known.done():
-            self.peer_known.cancel()
+        if not self.hello_received.done():
+            self.hello_received.cancel()
         self._on_lost(self)
 
     def abort(self) -> None:
-        """Break the link at once."""
+        """Close the link at once, discarding unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
         self._end()
 
-    def ask_whether_read(self) -> None:
-        """Ask for an answer, which the other side gives once it has read all that was sent."""
-        self.has_answered = False
+    def request_ack(self) -> None:
+        """Request a heartbeat reply, which shows that the peer has read all previous frames."""
+        self.ack_received = False
         self.send(frames.Heartbeat(True))
 
-    def may_answer(self, now: float) -> bool:
-        """Return whether the other side has not answered yet and is not silent."""
-        return not (self.lost or self.has_answered or now - self.received_at >= SILENT_AFTER_S)
+    def is_ack_pending(self, now: float) -> bool:
+        """Return whether the reply to `request_ack` is outstanding and the link is not lost."""
+        return not (self.lost or self.ack_received or now - self.received_at >= LOST_AFTER_IDLE_S)
 
     def close(self) -> None:
-        """Close after what was written."""
+        """Close the link after sending all written bytes."""
         if self.transport is not None:
             self.transport.close()
 
@@ -202,7 +212,7 @@
     on_fault: Callable[[str], None],
     timeout: float,
 ) -> Link:
-    """Open a link and wait for the other side's hello; raise LinkLost."""
+    """Open a link and wait for the peer's hello, for up to `timeout` seconds; raise LinkLost."""
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
     try:
@@ -211,7 +221,7 @@
                 lambda: Link(hello, on_frame, on_lost, on_fault), host, port
             )
             try:
-                await asyncio.wait([link.peer_known])
+                await asyncio.wait([link.hello_received])
             except asyncio.CancelledError:
                 link.abort()
                 raise
@@ -222,8 +232,8 @@
     return link
 
 
-class Exchanged(NamedTuple):
-    """Hold an answer, who gave it, and the bytes that the exchange took."""
+class ExchangeResult(NamedTuple):
+    """Answer to a request, the peer that sent it, and the bytes transferred."""
 
     answer: frames.Frame
     peer: frames.Hello
@@ -237,8 +247,8 @@
     request: frames.Frame,
     on_fault: Callable[[str], None],
     timeout: float,
-) -> Exchanged:
-    """Ask one question on a link of its own; raise LinkLost."""
+) -> ExchangeResult:
+    """Send a request on a new link and wait for the answer; raise LinkLost."""
     loop = asyncio.get_running_loop()
     answer: asyncio.Future[frames.Frame] = loop.create_future()
 
@@ -261,4 +271,4 @@
     finally:
         link.close()
     assert link.peer is not None
-    return Exchanged(frame, link.peer, link.bytes_in, link.bytes_out)
+    return ExchangeResult(frame, link.peer, link.bytes_in, link.bytes_out)
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -39,7 +39,7 @@
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.http1 import HttpConnection
 from hornbeamgw.daemon.http_server import (
-    ADMIN_BODY_LIMIT,
+    MAX_ADMIN_BODY_BYTES,
     HttpServer,
     Timeouts,
     json_response,
@@ -95,10 +95,10 @@
         dialect = dialects_by_name[settings.calls_dialect]
         self.control = Control(settings, me, rng)
         self.quarantine = Quarantine(me, self._publish_findings)
-        self.control.on_news.append(self.quarantine.receive)
+        self.control.on_member_report.append(self.quarantine.receive)
         exposure_bound = ExposureBound(settings.rollouts_share, settings.rollouts_slack)
         self.rollouts = Rollouts(exposure_bound, self._publish_standings)
-        self.control.on_news.append(self.rollouts.hear_member)
+        self.control.on_member_report.append(self.rollouts.receive_member)
         source = sources.factories_by_name[settings.source](
             self.control, platform, settings.platform_poll, rng, settings.platform_adapter
         )
@@ -107,7 +107,7 @@
         )
         self._own_row = own_row
         if own_row is not None:
-            self.control.on_era.append(lambda era: own_row.note_era())
+            self.control.on_era.append(lambda era: own_row.rewrite_after_restore())
         directory = _directory(settings, self.control, platform, rng, own_row)
         self.reader = Reader(self.control, source, rng, directory)
         self.leader = _leader(settings, self.control, platform, source, self.rollouts, self.reader)
@@ -125,7 +125,7 @@
             )
         )
         crossed = self.control.meter.crossed
-        self.links = Links(lambda: self.control.hello, self.control.fault, crossed)
+        self.links = Links(lambda: self.control.hello, self.control.record_fault, crossed)
         choose = balancing.chooser_of(settings.calls_balancing)
         exposure_state = self.rollouts.state
         servers = Servers(self.links, choose, rng, self.gates.local_outlook, exposure_state)
@@ -206,7 +206,7 @@
         if is_urgent:
             self.control.announce_everywhere()
         if self._own_row is not None:
-            self._own_row.note_findings(stored)
+            self._own_row.set_findings(stored)
 
     def _publish_standings(self, standings: tuple[RolloutStatus, ...], is_urgent: bool) -> None:
         self.control.update_me(standings=standings)
@@ -238,7 +238,7 @@
         self.control.spawn(self.reader.poll_loop())
         self.control.spawn(self._check_loop())
         if self.leader is not None:
-            self.reader.watches_closely = self.rollouts.has_undecided
+            self.reader.needs_short_watch = self.rollouts.has_undecided
             self.control.spawn(self.leader.run())
             send = self.control.send_tally
             tallies = send_tallies(self.gates, self.rollouts, self._leader_addresses, send)
@@ -253,7 +253,7 @@
 
     async def _on_ready_request(self, connection: HttpConnection, request: h11.Request) -> None:
         """Answer a readiness check: ready with a version in force and while not draining."""
-        await read_body(connection, ADMIN_BODY_LIMIT)
+        await read_body(connection, MAX_ADMIN_BODY_BYTES)
         ready = versions.is_ready(self.control.versions) and not self.calls.draining
         version = self.control.versions.snapshot.version
         json_response(connection, 200 if ready else 503, {"ready": ready, "version": version})
--- a/hornbeamgw/daemon/planned_stop.py
+++ b/hornbeamgw/daemon/planned_stop.py
@@ -74,9 +74,9 @@
         await self._gates.wait_idle()
         # Data in the process's write buffers is lost when the process exits. Data in the kernel's
         # send buffers may be lost if a link is reset before the peer has read it.
-        while self._callers.unsent():
+        while self._callers.unsent_bytes():
             await asyncio.sleep(POLL_INTERVAL_S)
-        await self._peers.wait_read()
+        await self._peers.wait_until_read()
 
     def _cancel_unfinished(self) -> list[str]:
         now = asyncio.get_running_loop().time()
--- a/hornbeamgw/daemon/relay.py
+++ b/hornbeamgw/daemon/relay.py
@@ -10,7 +10,7 @@
 from hornbeamgw.daemon.attempts import Attempt, DaemonStopping, DeadlineExpired
 from hornbeamgw.daemon.call import Call
 from hornbeamgw.daemon.flow import Pacer
-from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, header, response_of
+from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, header, response_head
 from hornbeamgw.daemon.progress import WaitsFor
 
 # Assumed size of an answer without a content length, large enough that the pacer sends most other
@@ -45,7 +45,7 @@
     headers.append((heads.CALL_ID, call.call_id.encode()))
     if close:
         headers.append((b"connection", b"close"))
-    events: list[h11.Event] = [response_of(reply.status, headers)]
+    events: list[h11.Event] = [response_head(reply.status, headers)]
     if reply.body:
         events.append(h11.Data(data=reply.body))
     if reply.end:
