--- a/hornbeamgw/backends/base.py
+++ b/hornbeamgw/backends/base.py
@@ -10,14 +10,17 @@
 
 
 class PlatformError(Exception):
-    """Indicate that a request to the platform failed; a write may still have taken effect."""
+    """A request to the platform failed; if it was a write, it may still have taken effect."""
 
 
 class TableService(Protocol):
-    """Read rows, and write several atomically under preconditions."""
+    """Table of rows that can be read, and written several at a time under preconditions."""
 
     async def read(self, key: str) -> Row | None:
-        """Return a row, or None if it does not exist; raise PlatformError if the read fails."""
+        """Return a row, or None if it does not exist.
+
+        Raises PlatformError if the read fails.
+        """
 
     async def transact(self, writes: Sequence[Write]) -> bool:
         """Apply all writes, or none if a condition is not met; return whether they were applied.
@@ -27,17 +30,23 @@
 
 
 class ObjectStore(Protocol):
-    """Store immutable objects by name."""
+    """Store of immutable objects by name."""
 
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None if it does not exist; raise PlatformError if the read fails."""
+        """Return an object, or None if it does not exist.
+
+        Raises PlatformError if the read fails.
+        """
 
     async def put(self, name: str, value: bytes) -> None:
-        """Store an object, whose name must be unique to its content; raise PlatformError."""
+        """Store an object, whose name must be unique to its content.
+
+        Raises PlatformError if the write fails.
+        """
 
 
 class Platform(NamedTuple):
-    """Hold the persistent stores of a platform; None for each that it does not have."""
+    """Persistent stores of a platform; None for each that it does not have."""
 
     table: TableService | None = None
     objects: ObjectStore | None = None
@@ -51,7 +60,8 @@
 def register(name: str) -> Callable[[PlatformFactory], PlatformFactory]:
     """Register a platform adapter under a name.
 
-    The adapter is a function of the platform's address and a timeout per request in seconds.
+    The adapter is a function that returns a platform, given its address (IP:port) and the timeout
+    of each request in seconds.
     """
 
     def add(factory: PlatformFactory) -> PlatformFactory:
--- a/hornbeamgw/backends/http_platform.py
+++ b/hornbeamgw/backends/http_platform.py
@@ -29,8 +29,8 @@
 ) -> Response:
     """Send a request and return its response.
 
-    Raises PlatformError if there is no response, or if its status is 429 or 5xx. `timeout` is in
-    seconds; None for the client's default.
+    `timeout` is in seconds; None means the default of the client. Raises PlatformError if there is
+    no response, or if its status is 429 or 5xx.
     """
     try:
         response = await client.request(method, target, headers, body, timeout)
@@ -53,14 +53,17 @@
 
 
 class HttpTableService:
-    """Access the table service."""
+    """Table service of a platform, accessed over HTTP."""
 
     def __init__(self, client: HttpClient) -> None:
         """Use `client` for all requests."""
         self._client = client
 
     async def read(self, key: str) -> Row | None:
-        """Return a row, or None if it does not exist; raise PlatformError."""
+        """Return a row, or None if it does not exist.
+
+        Raises PlatformError if the read fails.
+        """
         response = await send_request(self._client, "GET", f"/table/{key}")
         if response.status == STATUS_NOT_FOUND:
             return None
@@ -70,7 +73,10 @@
         return Row(response.body, etag.decode())
 
     async def transact(self, writes: Sequence[Write]) -> bool:
-        """Apply all writes or none; return whether all conditions were met; raise PlatformError."""
+        """Apply all writes, or none if a condition is not met; return whether they were applied.
+
+        Raises PlatformError if the outcome is unknown.
+        """
         body = msgspec.json.encode([_encode_write(write) for write in writes])
         response = await send_request(self._client, "POST", "/table", body)
         if response.status == STATUS_PRECONDITION_FAILED:
@@ -81,14 +87,17 @@
 
 
 class HttpObjectStore:
-    """Access the object store."""
+    """Object store of a platform, accessed over HTTP."""
 
     def __init__(self, client: HttpClient) -> None:
         """Use `client` for all requests."""
         self._client = client
 
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None if it does not exist; raise PlatformError."""
+        """Return an object, or None if it does not exist.
+
+        Raises PlatformError if the read fails.
+        """
         response = await send_request(self._client, "GET", f"/objects/{name}")
         if response.status == STATUS_NOT_FOUND:
             return None
@@ -97,7 +106,10 @@
         return response.body
 
     async def put(self, name: str, value: bytes) -> None:
-        """Store an object unless it exists already; names are unique to their content."""
+        """Store an object unless it exists already; names are unique to their content.
+
+        Raises PlatformError if the write fails.
+        """
         headers = [(b"if-none-match", b"*")]
         response = await send_request(self._client, "PUT", f"/objects/{name}", value, headers)
         if response.status not in (STATUS_OK, STATUS_CREATED, STATUS_PRECONDITION_FAILED):
@@ -106,6 +118,9 @@
 
 @register("http")
 def http_platform(address: str, timeout: float) -> Platform:
-    """Return the platform at an address (IP:port); `timeout` per request is in seconds."""
+    """Return the platform at an address (IP:port).
+
+    `timeout` is the time limit of each request in seconds.
+    """
     client = HttpClient(address, timeout)
     return Platform(HttpTableService(client), HttpObjectStore(client))
--- a/hornbeamgw/backends/rows.py
+++ b/hornbeamgw/backends/rows.py
@@ -7,7 +7,7 @@
 
 
 class StoredRow(NamedTuple):
-    """Hold a row as of its last write.
+    """A row as of its last write.
 
     `value` is None if the row was deleted; `revision` is the store's revision at that write.
     """
@@ -18,10 +18,10 @@
 
 
 class RowPage(NamedTuple):
-    """Hold the rows of one response, the store's revision and its monotonic clock in seconds.
+    """Rows of one response, with the revision and the monotonic clock (s) of the store.
 
-    Revisions rise with each transaction. `era` rises when the store is restored from a backup;
-    revisions of different eras are not comparable.
+    The revision of the store increases with each transaction. `era` increases when the store is
+    restored from a backup; revisions of different eras are not comparable.
     """
 
     rows: Sequence[StoredRow]
@@ -31,7 +31,10 @@
 
 
 class RowStore(Protocol):
-    """Read, watch and write rows; each call may raise PlatformError."""
+    """Store of rows whose changes can be watched.
+
+    All methods raise PlatformError if the request fails.
+    """
 
     async def read(self, table: str, key: str = "") -> RowPage:
         """Return the row of a table with this key, or all rows if the key is empty."""
@@ -39,7 +42,7 @@
     async def watch(self, table: str, after_revision: int, wait: float) -> RowPage | None:
         """Return rows changed after a revision, waiting up to `wait` seconds for a change.
 
-        Returns None if the store no longer has its history since that revision.
+        Returns None if the store no longer has all changes since that revision.
         """
 
     async def write(
--- a/hornbeamgw/commands/catalogue.py
+++ b/hornbeamgw/commands/catalogue.py
@@ -118,7 +118,7 @@
 @cappa.command(name="history", help="Show the versions in a daemon's history.")
 @dataclass
 class CatalogueHistory:
-    """Show who changed what, and when."""
+    """Show the author, time and changed items of each version."""
 
     daemon: DaemonArg
     output: OutputArg = "table"
@@ -246,7 +246,7 @@
 
 
 class _ProgressBar:
-    """Show a progress bar if standard error is a terminal."""
+    """Progress bar on standard error, if that is a terminal."""
 
     def __init__(self, version: int) -> None:
         self._bar: Any = None
@@ -272,7 +272,7 @@
 @cappa.command(name="catalogue", help="Check, apply, show and compare the catalogue.")
 @dataclass
 class CatalogueCommand:
-    """Group the commands for the catalogue."""
+    """Group of commands for the catalogue."""
 
     command: cappa.Subcommands[
         CatalogueCheck | CatalogueApply | CatalogueShow | CatalogueDiff | CatalogueHistory
--- a/hornbeamgw/commands/client.py
+++ b/hornbeamgw/commands/client.py
@@ -19,7 +19,7 @@
 
 
 class JsonResponse(NamedTuple):
-    """Hold the status and the decoded JSON body of a response."""
+    """Status and decoded JSON body of a response."""
 
     status: int
     document: Any
@@ -30,7 +30,8 @@
 ) -> JsonResponse:
     """Send a request to one daemon and return its response.
 
-    Raises OSError, TimeoutError, ConnectionLost, h11.ProtocolError or a decoding error.
+    Raises OSError, TimeoutError, ConnectionLost or h11.ProtocolError if there is no response, and
+    ValueError if its body is not JSON.
     """
     client = HttpClient(address, REQUEST_TIMEOUT_S)
     target = f"{path}?{urlencode(query)}" if query else path
@@ -60,7 +61,7 @@
 ) -> dict[str, Any]:
     """Send a GET request to each daemon, concurrently.
 
-    Returns documents by address, None for a daemon that did not respond.
+    Returns the documents by address, with None for each daemon that did not respond.
     """
     semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
@@ -76,7 +77,10 @@
 
 
 async def live_admin_addresses(address: str) -> list[str]:
-    """Return the admin addresses of all daemons that one daemon sees as alive or suspect."""
+    """Return the admin addresses of all daemons that one daemon sees as alive or suspect.
+
+    `address` is the admin address of that one daemon.
+    """
     status = (await send_request(address, "GET", "/status")).document
     members = [member for member in status["members"] if member["status"] in ("alive", "suspect")]
     return [member["admin"] or address for member in members]
--- a/hornbeamgw/commands/daemon.py
+++ b/hornbeamgw/commands/daemon.py
@@ -32,7 +32,7 @@
     ] = False
 
     def __call__(self) -> None:
-        """Run the daemon; exit with 0 after a complete drain, 3 if work was cut off."""
+        """Run the daemon; exit with 0 after a complete drain, 3 if requests were aborted."""
         from hornbeamgw.daemon.main import run
 
         raise cappa.Exit(
@@ -76,6 +76,6 @@
 @cappa.command(name="settings", help="Check or show settings.")
 @dataclass
 class SettingsCommand:
-    """Group the commands for settings."""
+    """Group of commands for settings."""
 
     command: cappa.Subcommands[SettingsCheck | SettingsShow]
--- a/hornbeamgw/commands/fleet.py
+++ b/hornbeamgw/commands/fleet.py
@@ -1,4 +1,4 @@
-"""Commands that show the state and the decisions of daemons."""
+"""Commands that show the state of daemons, and how they would route a request."""
 
 from __future__ import annotations
 
@@ -150,7 +150,7 @@
     plot: PlotArg = ""
 
     def __call__(self) -> None:
-        """Print the histograms, and plot them if asked to."""
+        """Print the histograms; with --plot, also write a plot."""
         rows = request_or_fail(self.daemon, "GET", "/histograms")
         if self.plot:
             plot_histograms(rows, self.plot)
@@ -169,7 +169,7 @@
     plot: PlotArg = ""
 
     def __call__(self) -> None:
-        """Print the timeline."""
+        """Print the timeline; with --plot, also write a plot."""
         documents_by_admin = _get_from_fleet(
             self.daemon, "/timeline", {"version": str(self.version)}
         )
--- a/hornbeamgw/commands/main.py
+++ b/hornbeamgw/commands/main.py
@@ -22,7 +22,7 @@
 )
 @dataclass
 class Hornbeamgw:
-    """Group all commands."""
+    """Group of all commands."""
 
     command: cappa.Subcommands[
         DaemonCommand
--- a/hornbeamgw/core/admission.py
+++ b/hornbeamgw/core/admission.py
@@ -47,9 +47,11 @@
     "withdraw",
 ]
 
+# Attempts are recorded for this time, and up to this number, so that duplicates are refused.
 ATTEMPT_RETENTION_S = 60.0
 MAX_ATTEMPT_RECORDS = 100_000
 SERVICE_TIME_EWMA_WEIGHT = 0.1
+# Retry delay of refusals for which the queue policy gives none, such as those of a draining server.
 RETRY_AFTER_DRAIN_MS = 50
 
 
@@ -58,7 +60,7 @@
 
 
 def free_slots(state: AdmissionState) -> int:
-    """Return the number of slots that no running or queued request needs."""
+    """Return the number of slots that no running or queued request needs; 0 unless serving."""
     if state.server_state is not ServerState.SERVING:
         return 0
     return max(0, state.slots - len(state.running_by_attempt) - len(state.queue))
@@ -91,6 +93,7 @@
     if running < request.limits.reserved:
         return free > 0
     reserved_for_others = _reserved_for_others(state, request.entry)
+    # Only the last slot that is not reserved may be kept for more urgent requests.
     if free != reserved_for_others + 1:
         return free > reserved_for_others
     return not state.policy.keeps_last_slot(state, request, now)
@@ -160,7 +163,10 @@
 
 
 def admit(state: AdmissionState, request: Request, service: str, now: float) -> Decision:
-    """Start, queue or refuse a request that has just arrived."""
+    """Start, queue or refuse a request that has just arrived.
+
+    A request whose attempt is already recorded is a duplicate, or was fenced, and is refused.
+    """
     record = state.records_by_attempt.get(request.attempt)
     if record is not None:
         failure = may_have_run if _was_admitted(record) else not_run
@@ -213,13 +219,14 @@
 ) -> list[Decision]:
     """Free the slot of a request and return the decisions that follow for queued requests.
 
-    The service time is recorded only if the server has processed the request.
+    The service time is recorded only if the server has processed the request and has not been
+    restarted since.
     """
     request = state.running_by_attempt.pop(attempt)
-    is_current_run = state.started_by_attempt.pop(attempt, None) is not None
+    is_same_process = state.started_by_attempt.pop(attempt, None) is not None
     state.running_count_by_entry[request.entry] -= 1
     _record_status(state, attempt, AttemptStatus.FINISHED, now)
-    if is_current_run and was_processed:
+    if is_same_process and was_processed:
         state.mean_service_time += SERVICE_TIME_EWMA_WEIGHT * (
             now - started - state.mean_service_time
         )
@@ -254,7 +261,7 @@
 
 
 def resolve(state: AdmissionState, attempt: AttemptId, age: float, now: float) -> Verdict:
-    """Return whether an attempt of this age (s) may have run; fence it if it was not admitted."""
+    """Return whether an attempt made `age` seconds ago may have run; fence it if not admitted."""
     record = state.records_by_attempt.get(attempt)
     if record is None and age >= ATTEMPT_RETENTION_S:
         return Verdict.MAY_HAVE_RUN
--- a/hornbeamgw/core/backlog.py
+++ b/hornbeamgw/core/backlog.py
@@ -7,7 +7,7 @@
 
 
 def start_times(slots_free_at: Iterable[float], durations: Sequence[float]) -> list[float]:
-    """Return the start time of each queued request.
+    """Return the start time of each queued request in seconds; infinite if there are no slots.
 
     Parameters
     ----------
--- a/hornbeamgw/core/balancing.py
+++ b/hornbeamgw/core/balancing.py
@@ -24,7 +24,8 @@
 # Consecutive failures that eject a server, and the length of the first and the longest ejection.
 EJECT_FAILURE_THRESHOLD = 5
 EJECT_BASE_S = 1.0
-EJECT_UNREACHABLE_S = 0.5  # a killed daemon is restarted in about a second
+# Length of an ejection because a daemon is unreachable; a killed daemon restarts in about a second.
+EJECT_UNREACHABLE_S = 0.5
 EJECT_MAX_S = 30.0
 # Ejections are ignored while more than this ratio of the candidates is ejected.
 EJECT_MAX_RATIO = 0.5
@@ -104,6 +105,7 @@
 
 
 def _cost(candidate: Candidate, now: float) -> float:
+    """Return the used slots, including one for the new call, relative to the ramped capacity."""
     load, slots = candidate.load, max(1, candidate.member.slots)
     used = load.outstanding
     if load.free_slots is not None:
@@ -124,13 +126,13 @@
 
 @register("round_robin")
 def round_robin(candidates: Sequence[Candidate], now: float, rng: random.Random) -> Candidate:
-    """Return a uniformly random candidate regardless of load (baseline)."""
+    """Return a uniformly random candidate regardless of load, as a baseline for comparison."""
     return rng.choice(candidates)
 
 
 @register("least_outstanding")
 def least_outstanding(candidates: Sequence[Candidate], now: float, rng: random.Random) -> Candidate:
-    """Return the candidate with the fewest outstanding calls from this daemon (baseline)."""
+    """Return a candidate with the fewest outstanding calls from this daemon, as a baseline."""
     fewest = min(c.load.outstanding for c in candidates)
     return rng.choice([c for c in candidates if c.load.outstanding == fewest])
 
@@ -195,7 +197,7 @@
     Attributes
     ----------
     me : Member
-        The member that selects.
+        Record of the daemon that selects.
     candidates : list of Candidate
         The servers to select from.
     tried : collection of str
@@ -229,7 +231,7 @@
 
 
 def register_chooser(name: str) -> Callable[[Chooser], Chooser]:
-    """Register a function that selects among all servers under its name in the settings."""
+    """Register, under its name in the settings, a function that selects among all servers."""
 
     def add(chooser: Chooser) -> Chooser:
         choosers_by_name[name] = chooser
@@ -239,7 +241,10 @@
 
 
 def chooser_of(name: str) -> Chooser:
-    """Return the chooser of that name; a policy is applied to the nearest tier with free slots."""
+    """Return the chooser with a name in the settings.
+
+    If the name is that of a policy, the chooser applies it to the nearest tier with free slots.
+    """
     if name in choosers_by_name:
         return choosers_by_name[name]
     policy = policies_by_name[name]
--- a/hornbeamgw/core/breaker.py
+++ b/hornbeamgw/core/breaker.py
@@ -13,7 +13,7 @@
 # Consecutive early losses that open the breaker. One is not enough, since the server may just have
 # closed an idle connection.
 OPEN_AFTER_LOSSES = 2
-# A loss is early within this ratio of the expected service time.
+# A loss counts as early before this ratio of the expected service time has passed.
 EARLY_LOSS_RATIO = 0.2
 # Time for which the breaker stays open; it doubles with each opening up to the maximum.
 OPEN_BASE_S = 0.1
@@ -26,13 +26,13 @@
     Attributes
     ----------
     consecutive_losses : int
-        Early losses since the server last responded.
+        Number of early losses since the server last responded.
     open_until : float
         Time in seconds until which all requests are refused.
     probe_until : float
-        Time in seconds until which a probe request is in progress.
+        Time in seconds until which no other probe request is sent.
     open_count : int
-        Openings since the server last responded.
+        Number of times that the breaker has opened since the server last responded.
     """
 
     def __init__(self) -> None:
@@ -44,7 +44,10 @@
 
 
 def is_early_loss(held: float, expected: float) -> bool:
-    """Return whether a loss is early, given the elapsed and expected service times in seconds."""
+    """Return whether a connection lost after `held` seconds is an early loss.
+
+    `expected` is the expected service time of the request in seconds.
+    """
     return held < EARLY_LOSS_RATIO * expected
 
 
--- a/hornbeamgw/core/caller_retries.py
+++ b/hornbeamgw/core/caller_retries.py
@@ -8,20 +8,23 @@
 
 from __future__ import annotations
 
-# Differences up to this one count as equal; shorter than a retry by any caller can take.
+# Time limits that differ by at most this count as equal. Any retry takes callers longer than this.
 TOLERANCE_MS = 4
-# The longest time limit of a route is discarded after this long, in case callers lower it.
+# The longest time limit of a route is discarded if no request had it for this time, in case callers
+# have lowered their limit.
 FORGET_AFTER_S = 10.0
-# Limits of first tries are taken as equal if at least this ratio of all requests has the longest
-# one. The ratio is low because under overload most requests are retries.
+# First tries are assumed to have equal limits if at least this ratio of all requests has the
+# longest one. The ratio is low because under overload most requests are retries.
 UNIFORM_LIMIT_RATIO = 0.15
 # Weight of the newest request in the moving average, after the first few requests.
 SMOOTHING_FACTOR = 0.02
-# If limits vary, the shortest limit of a first try relative to the longest.
+# If the limits of first tries vary, the shortest of them relative to the longest.
 FIRST_TRY_MIN_RATIO = 0.8
 
 
 class _Route:
+    """Time limits seen on a route; `with_longest` is the ratio of requests with the longest."""
+
     def __init__(self) -> None:
         self.longest_ms = 0
         self.seen_at = 0.0
@@ -30,7 +33,7 @@
 
 
 class ReturnState:
-    """The longest time limit and the ratio of requests that have it, by route."""
+    """Time limits of recent requests, by route."""
 
     def __init__(self) -> None:
         """Start with nothing seen."""
--- a/hornbeamgw/core/catalogue.py
+++ b/hornbeamgw/core/catalogue.py
@@ -48,7 +48,7 @@
 
 
 class DestinationBody(TypedDict):
-    """Service of a split route and its weight."""
+    """One of the services that a route's requests are split between, and its weight."""
 
     service: Name
     weight: Count
@@ -244,8 +244,8 @@
 def validate(items: Items, source: str = "catalogue", validated: Items = NO_ITEMS) -> list[Problem]:
     """Return every problem of a whole catalogue: format, names, references and sizes.
 
-    Validated items are those of a catalogue known to be valid: only items that differ from it are
-    checked, and routes on hosts where a route differs.
+    `validated` contains the items of a catalogue that is known to be valid. Only items that differ
+    from it are checked, and other routes only if such a change could make them invalid.
     """
     problems: list[Problem] = []
     if len(items) > MAX_ITEMS:
--- a/hornbeamgw/core/commit.py
+++ b/hornbeamgw/core/commit.py
@@ -1,4 +1,4 @@
-"""Commit of a catalogue version: rows and transaction that store a delta in the platform table.
+"""Commit of a catalogue version: the transaction that stores its delta in the platform's table.
 
 The head row names the newest version. It is replaced conditionally, so that concurrent commits
 of the same version cannot both succeed.
@@ -20,7 +20,7 @@
 
 
 class Head(TypedDict):
-    """Newest version, and the version and object name of the newest stored snapshot."""
+    """Newest version and its digest, and version and object name of the newest stored snapshot."""
 
     version: int
     digest: str
@@ -59,7 +59,10 @@
 
 
 def plan(head: Head, head_etag: str | None, delta: Delta, with_snapshot: bool) -> Plan:
-    """Return the conditional transaction that commits a delta and replaces the head."""
+    """Return the conditional transaction that commits a delta and replaces the head.
+
+    With `with_snapshot`, the new head names a snapshot of the new version.
+    """
     version = delta["version"]
     new_head = Head(
         version=version,
@@ -79,7 +82,7 @@
 
 
 def find_edit(deltas: Sequence[Delta], edit_id: str) -> Delta | None:
-    """Return the delta that was accepted from an edit, or None if it is not among these."""
+    """Return the delta that was accepted from an edit, or None if none of the given deltas was."""
     return next((delta for delta in deltas if delta["edit_id"] == edit_id), None)
 
 
--- a/hornbeamgw/core/crossing.py
+++ b/hornbeamgw/core/crossing.py
@@ -19,18 +19,18 @@
 from hornbeamgw.core.membership import Member, Status
 from hornbeamgw.core.placement import RouteTraits
 
-# Service times are modelled as log-normal. Multiplying their relative mean deviation by this factor
-# approximates the standard deviation of their logarithm.
+# Service times are modelled as log-normal. The standard deviation of their logarithm is
+# approximated by this factor times the mean absolute deviation divided by the mean.
 LOG_SPREAD_PER_DEVIATION = 1.25
 MIN_LOG_SPREAD = 0.2
 # Transfer size that costs half the value of a timely answer.
 HALF_VALUE_BYTES = 5_000
 # Value of a late answer relative to a timely one.
 LATE_VALUE_RATIO = 0.2
-# Loss for a completion time equal to the latency objective. It prefers the faster of two servers
-# that are equally likely to answer in time.
+# Loss added for a completion time equal to the latency objective, and in proportion for others, so
+# that the faster of two servers is selected if both are equally likely to answer in time.
 COMPLETION_TIME_WEIGHT = 0.1
-# Range of the random offset that breaks ties.
+# Upper limit of the random loss that is added to break ties.
 TIE_BREAK_LOSS = 0.002
 # Larger bodies are sent to another data centre only after the daemon there has agreed to accept the
 # call, since a refusal would waste the transfer.
@@ -45,7 +45,7 @@
     traits : RouteTraits
         Service time of the route's requests.
     slowness : float
-        Service time of the server relative to the mean.
+        Service time of the server relative to the mean of the route.
     wait : float
         Time in seconds before the server starts on the request.
     time_left : float
@@ -63,7 +63,10 @@
 
 
 def transfer_cost(size: float) -> float:
-    """Return the cost of transferring `size` bytes between data centres."""
+    """Return the cost of transferring `size` bytes between data centres, from 0 to 1.
+
+    A cost of 1 is the value of a timely answer.
+    """
     return size / (size + HALF_VALUE_BYTES)
 
 
@@ -72,6 +75,7 @@
 
 
 def _expected_delay(choice: Choice, candidate: Candidate) -> float:
+    """Return the expected time in seconds until a server starts on the request, plus penalties."""
     wait = placement.expected_wait(candidate, choice.traits, choice.now)
     if _is_remote(choice, candidate):
         wait += placement.CROSS_DATA_CENTRE_RTT_S
@@ -81,7 +85,10 @@
 
 
 def expected_loss(choice: Choice, candidate: Candidate) -> float:
-    """Return the expected loss if the call is sent to a server."""
+    """Return the expected loss if the call is sent to a server.
+
+    A loss of 1 is the value of a timely answer; penalties may add up to more than that.
+    """
     load, wait = candidate.load, _expected_delay(choice, candidate)
     late = late_probability(choice.traits, load.slowness, wait, choice.time_left)
     finish = wait + choice.traits.service * load.slowness
@@ -121,7 +128,7 @@
 
 
 def should_ask_first(me: Member, chosen: Candidate, body_size: int) -> bool:
-    """Return whether the chosen server's daemon is asked before a body (bytes) is sent."""
+    """Return whether the server's daemon is asked before a body of `body_size` bytes is sent."""
     return chosen.member.data_centre != me.data_centre and body_size >= ASK_FIRST_MIN_BYTES
 
 
--- a/hornbeamgw/core/dialect.py
+++ b/hornbeamgw/core/dialect.py
@@ -9,7 +9,7 @@
 
 
 class Dialect(NamedTuple):
-    """Hold the header names of requests and answers, in lower case; empty names are not used.
+    """Header names of requests and answers, in lower case; an empty name disables the header.
 
     Attributes
     ----------
@@ -22,17 +22,18 @@
     instance : bytes
         Header in which a backend server identifies its instance in a health check.
     signature : bytes
-        Header that proves that an answer was made by the backend server.
+        Header that proves that an answer was created by the backend server.
     not_run : bytes
         Header that states that the backend server did not run the request.
     other_instance_status : int
-        Status with which another instance refuses a request without running it; 0 if unused.
+        HTTP status with which a server refuses, without running it, a request that was addressed to
+        a different instance; 0 if unused.
     echoes_call_id : bool
         Whether answers repeat the id of the call.
     fractional_retry_after : bool
         Whether `retry-after` headers may contain fractions of a second.
     identifies_caller : tuple of bytes
-        Headers that identify a caller.
+        Headers whose values identify a caller.
     """
 
     call_id: bytes = b"hornbeamgw-call-id"
@@ -59,7 +60,7 @@
 
 
 class AnswerHead(NamedTuple):
-    """Hold the status and headers of an answer from a backend server."""
+    """Status and headers of an answer from a backend server."""
 
     status: int
     headers: Collection[tuple[bytes, bytes]]
@@ -77,7 +78,7 @@
 
 
 def is_answer_to(dialect: Dialect, answer: AnswerHead, call_id: bytes) -> bool:
-    """Return whether an answer belongs to this call, as far as answers echo the call id."""
+    """Return whether an answer belongs to this call, or carries no call id."""
     if not dialect.echoes_call_id:
         return True
     return _header_value(answer.headers, dialect.call_id) in (None, call_id)
--- a/hornbeamgw/core/edit.py
+++ b/hornbeamgw/core/edit.py
@@ -28,7 +28,7 @@
 
 
 class Edit(TypedDict):
-    """Set of changes that an operator submits under a unique id."""
+    """Changes that an operator submits together, under a unique id."""
 
     edit_id: str
     author: str
@@ -43,7 +43,7 @@
 
 
 class Delta(TypedDict):
-    """Accepted version, as the difference from its parent version.
+    """Accepted catalogue version, as the difference from its parent version.
 
     Versions of an external source are not consecutive, so their deltas name the parent version.
     Daemons may observe different subsets of these versions, so the items have no revision.
@@ -84,6 +84,7 @@
     items: Items
 
 
+# Revision of all items of an external source (see `Delta`).
 NO_REVISION = 0
 EMPTY_CATALOGUE = Catalogue(0, compute_digest({}), {})
 
@@ -208,6 +209,7 @@
     for key, item in current.items.items():
         if key in wanted.bodies_by_key:
             continue
+        # Base revision 0 makes the deletion of an item that the author has not seen a conflict.
         seen_by_author = onto_current or (
             wanted.version is not None and item.revision <= wanted.version
         )
@@ -217,7 +219,7 @@
 
 
 def encode_delta(delta: Delta) -> bytes:
-    """Return the encoding of a delta for storage and messages."""
+    """Encode a delta as JSON, for storage and messages."""
     return msgspec.json.encode(delta)
 
 
--- a/hornbeamgw/core/evidence.py
+++ b/hornbeamgw/core/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence: canary analysis, whether a new version of a service answers worse than the old one.
+"""Evidence: canary analysis of whether a new version of a service answers worse than the old.
 
 The daemon next to each server counts good and bad answers per route. The counts of the new version
 are compared with a baseline: the ratio of bad answers of the old servers at the same time. The
@@ -20,18 +20,22 @@
 # A version is rolled back at once at this many standard deviations. The threshold is high because
 # it is checked many times a second.
 ROLLBACK_DEVIATIONS = 5.0
-# Limit at the decision, which is made once.
+# Limit when the rollout is decided; it is lower, since this check is made only once.
 DOUBT_DEVIATIONS = 2.0
-# Limit at the decision when one more of the worst servers is counted without a cap: among few
-# servers, a single one may be the only one that received the failing requests.
+# Limit when the rollout is decided, for the deviations with the cap applied to one server less
+# (`Degradation.with_one_more`): if there are few servers, the failing requests may all have reached
+# the same one.
 DOUBT_DEVIATIONS_WITH_ONE_MORE = 2.25
-# Subtracted for single routes, as one of many routes is more likely to look bad by chance.
+# Subtracted from the deviations of a single route: one of many may look bad by chance.
 ROUTE_ALLOWANCE_DEVIATIONS = 0.5
+# Limits of the baseline ratio of bad answers.
 MIN_BAD_RATIO = 0.02
 MAX_BAD_RATIO = 0.5
 # The baseline decays quickly, since bursts and faults are transient.
 BASELINE_HALF_LIFE_S = 2.0
+# Weight, as a number of answers, of the ratio that is assumed before a route has answers.
 BASELINE_PRIOR_ANSWERS = 40.0
+# Length of the window in which recent answers are also evaluated separately.
 RECENT_WINDOW_S = 3.0
 # Fraction of the version's servers that may be faulty for other reasons than the version.
 FAULTY_SERVER_RATIO = 0.15
@@ -69,13 +73,14 @@
 
 
 class _Sums:
-    """Sums of samples for each route and server."""
+    """Sums of the excess by route and server, and of the variance by route."""
 
     def __init__(self) -> None:
         self.excess_by_route: dict[str, dict[str, float]] = {}
         self.variance_by_route: dict[str, float] = {}
 
     def add(self, added: _Sample, sign: int = 1) -> None:
+        """Add a sample, or remove it if the sign is -1."""
         for route in (added.route, ALL_ROUTES):
             excess_by_server = self.excess_by_route.setdefault(route, {})
             known = excess_by_server.get(added.server, 0.0)
@@ -87,7 +92,8 @@
 class Degradation(NamedTuple):
     """How much worse a version answers, in standard deviations, and on which route.
 
-    `with_one_more` is the same with one more of the worst servers counted without a cap.
+    `with_one_more` is the same with the cap applied to one server less, so that the excess of one
+    more of the worst servers counts in full.
     """
 
     deviations: float
@@ -96,7 +102,10 @@
 
 
 class EvidenceState:
-    """Counts reported for the servers of one service during one rollout."""
+    """Answers of the servers of one service during one rollout, from reported tallies.
+
+    `new` and `old` are the counts of the new version and of all others.
+    """
 
     def __init__(self, target: str) -> None:
         """Create an empty state for the rollout of the version `target`."""
@@ -122,7 +131,7 @@
 
 
 def record_tally(state: EvidenceState, server: str, tally: Tally, now: float) -> None:
-    """Record the cumulative counts of a server; a lost report is covered by the next."""
+    """Record the cumulative counts of a server; they include those of earlier, lost reports."""
     held = state.tallies_by_server.get(server)
     known = {} if held is None or held.software != tally.software else held.counts_by_route
     state.tallies_by_server[server] = tally
@@ -175,7 +184,10 @@
 
 
 def _deviations(excess_by_server: Mapping[str, float], variance: float, faulty: int) -> float:
-    """Return the total excess in standard deviations, capped for the `faulty` worst servers."""
+    """Return the total excess in standard deviations.
+
+    The excess of the `faulty` worst servers is capped at that of the next worst.
+    """
     ordered = sorted(excess_by_server.values())
     cap = ordered[-1 - faulty] if faulty < len(ordered) else 0.0
     excess = sum(min(cap, value) for value in ordered)
@@ -183,7 +195,7 @@
 
 
 def measure_degradation(state: EvidenceState, servers: Collection[str], now: float) -> Degradation:
-    """Return how much worse the version answers on the servers that run it."""
+    """Return how much worse the version answers on `servers`, which run it."""
     _expire_recent(state, now)
     faulty = 0 if len(servers) < 2 else math.ceil(FAULTY_SERVER_RATIO * len(servers))
     fewer = max(0, faulty - 1)
@@ -201,5 +213,5 @@
 
 
 def has_enough_answers(state: EvidenceState) -> bool:
-    """Return whether there are enough answers of the version to accept it."""
+    """Return whether the new version has given enough answers to be accepted."""
     return state.new.answers >= MIN_ANSWERS
--- a/hornbeamgw/core/exposure.py
+++ b/hornbeamgw/core/exposure.py
@@ -1,10 +1,10 @@
 """Exposure: limits the requests that go to a version that hasn't been accepted yet.
 
-The bound holds for the whole fleet without a coordinator. Each daemon sends the new version at most
-a share of the requests that it has itself sent to servers of the service since it received the
-order, plus its part of the slack. A daemon that receives no further updates stays within this
-limit, and one that has just started begins at zero. So no leader can exceed the bound, even if
-several lead the rollout or none does.
+The limit (`ExposureBound`) holds for the whole fleet without a coordinator. Each daemon sends the
+new version at most a share of the requests that it has itself sent to servers of the service since
+it received the order, plus an equal share of the slack. A daemon that receives no further updates
+stays within this limit, and one that has just started begins at zero. So the limit holds even if
+several daemons lead the rollout or none does.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 from hornbeamgw.core.membership import Member, server_key
 from hornbeamgw.core.standing import Closing, Phase, RolloutStatus, supersedes
 
-# Fractions of the bound that are used; the remainder covers requests in flight and daemons that
-# receive an order late.
+# Fractions of the share and of the slack that are used; the remainder covers requests in flight and
+# daemons that receive an order late.
 USABLE_SHARE_RATIO = 0.9
 USABLE_SLACK_RATIO = 0.7
-# Fraction of the allowed requests that the trial may use; the rest is for the full move. The slack
-# is added up to the maximum: at a low request rate the full move shows little about how a version
+# Fraction of the allowed requests that the trial may use; the rest is for the full move, in which
+# all requests go to the new version shortly before the decision. The trial may also use the slack,
+# up to the maximum fraction: at a low request rate the full move shows little about how a version
 # behaves under load.
 TRIAL_RATIO = 0.4
 MAX_TRIAL_RATIO = 0.75
@@ -54,7 +55,11 @@
 
 
 class _VersionCounts:
-    """Requests and answers of one version since the order with this number."""
+    """Counts of one daemon since it received the order `number` to roll out a version.
+
+    `reached` counts requests to any server of the service; `sent`, `answers` and `bad` count
+    requests to the version, their answers, and the bad ones among these.
+    """
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -65,7 +70,7 @@
 
 
 class RequestTraits(NamedTuple):
-    """Properties of a request that determine its arm.
+    """Properties of a request that determine its `Arm`.
 
     `length_s` is the expected service time in seconds. `has_waited` is whether a request that is
     not idempotent has already been delayed because it must not run on servers about to be stopped.
@@ -118,7 +123,7 @@
 def record_versions(
     state: ExposureState, service: str, versions: Collection[str], now: float
 ) -> None:
-    """Record which versions of a service have servers."""
+    """Record the time at which versions of a service were first seen on a server."""
     for software in versions:
         state.first_seen_by_version.setdefault((service, software), now)
     while len(state.first_seen_by_version) > MAX_VERSIONS:
@@ -126,7 +131,7 @@
 
 
 def record_reached(state: ExposureState, service: str) -> None:
-    """Count a request that reached a server of a service."""
+    """Count a request that reached any server of a service that is being rolled out."""
     current = state.current_by_service.get(service)
     if current is not None and not current.is_final:
         state.counts_by_version[service, current.target].reached += 1
@@ -177,13 +182,13 @@
     BEFORE = "before"  # servers of versions in use
     TURN = "turn"  # servers of the new version whose trial turn it is
     NEW = "new"  # all servers of the new version
-    WAIT = "wait"  # none yet: old servers are about to be stopped and the bound is exhausted
+    WAIT = "wait"  # none yet: old servers are about to be stopped and the limit is reached
 
 
 def select_arm(
     state: ExposureState, request: RequestTraits, wall_time: float, rng: random.Random
 ) -> Arm:
-    """Return the servers from which one is selected; `wall_time` is the Unix time in seconds."""
+    """Return the group of servers for a request; `wall_time` is the Unix time in seconds."""
     current = state.current_by_service.get(request.service)
     if current is None or current.is_final or current.phase is Phase.HELD:
         return Arm.BEFORE
@@ -207,8 +212,8 @@
 ) -> Arm:
     """Return the arm of a non-idempotent request shortly before the old servers are stopped.
 
-    A waiting request is retried many times, and the random rounding would let it exceed the bound.
-    So after the first attempt it waits until the order is decided.
+    A waiting request checks the limit many times, and random rounding would at last let it exceed
+    the limit. So after the first check it waits until the order is decided.
     """
     if not has_waited and _has_room(state, current, rng):
         return Arm.NEW
@@ -219,7 +224,7 @@
 def closed_step(state: ExposureState, service: str, software: str) -> int:
     """Return the rollout step at which servers of a version were closed, or 0 if they are open.
 
-    A closed server accepts no further request that is not idempotent.
+    A closed server accepts no further requests that are not idempotent.
     """
     current = state.current_by_service.get(service)
     if current is None or software == current.target or current.phase is not Phase.MOVING:
@@ -263,6 +268,7 @@
 def _awaits_order(
     state: ExposureState, service: str, software: str, servers: Sequence[Member], now: float
 ) -> bool:
+    """Return whether a version has just appeared beside an older one, so an order may follow."""
     seen = state.first_seen_by_version.get((service, software), now)
     others = {member.software for member in servers} - {software}
     is_later = any(
@@ -276,7 +282,7 @@
     """Return the servers whose trial turn it is.
 
     `turn_s` is the length of a turn in seconds and `wall_time` the Unix time in seconds. Daemons
-    with different clocks select different servers, which only spreads the load more thinly.
+    with different clocks select different servers, which only spreads a burst over more servers.
     """
     if not servers:
         return []
--- a/hornbeamgw/core/finding.py
+++ b/hornbeamgw/core/finding.py
@@ -5,16 +5,16 @@
 import enum
 from typing import NamedTuple
 
-# Fingerprints per finding. Covers the requests running when a server crashes and those cancelled
-# shortly before.
+# Maximum number of fingerprints in a finding: enough for the requests that are running when a
+# server crashes and those that were cancelled shortly before.
 MAX_FINGERPRINTS = 16
-# Bounds the findings in a member record to about 1 KB.
+# Limits the size of all findings in a member record to about 1 KB.
 MAX_FINDINGS_PER_KIND = 4
 MAX_FINDINGS = 3 * MAX_FINDINGS_PER_KIND
 
 
 class FindingKind(enum.IntEnum):
-    """Enumerate what a finding states about the requests it names."""
+    """What a finding states about the requests that it names."""
 
     ENDED = 0  # running when the server exited
     ANSWERED = 1  # answered by the server, so they do not crash it
@@ -22,7 +22,7 @@
 
 
 class Finding(NamedTuple):
-    """Hold one finding; numbers increase with each finding of a daemon, also across restarts."""
+    """One finding; numbers increase with each finding of a daemon, also across restarts."""
 
     number: int
     kind: FindingKind
--- a/hornbeamgw/core/fingerprint.py
+++ b/hornbeamgw/core/fingerprint.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 UNKNOWN = 0
-# Collisions with a quarantined request are negligible at 64 bits.
+# With 64 bits, the risk of a collision with a quarantined request is negligible.
 FINGERPRINT_BYTES = 8
 LENGTH_PREFIX_BYTES = 8
 
--- a/hornbeamgw/core/membership.py
+++ b/hornbeamgw/core/membership.py
@@ -164,8 +164,9 @@
 # recently went down at this average rate, for the length of this window.
 RESTART_PROBES_PER_S = 4.0
 RESTART_PROBE_WINDOW_S = 30.0
+# Consecutive mismatches of view hashes after which full views are exchanged, by weight.
 RECONCILE_MISMATCH_THRESHOLD = 6
-# Weight of a view mismatch while no gossip is queued.
+# Weight of a mismatch while no gossip is queued, and so none can resolve it.
 IDLE_MISMATCH_WEIGHT = 2
 MIN_RECONCILE_INTERVAL_S = 2.0
 # The cost of exchanging full views grows with the fleet, and so does the minimum interval: during
@@ -176,6 +177,8 @@
 
 
 class _Pending(NamedTuple):
+    """A probe without an answer; `indirect` is set once other members were asked to probe, too."""
+
     target: str
     sent_at: float
     indirect: bool
@@ -196,7 +199,9 @@
 class MembershipState:
     """The membership view of one daemon.
 
-    `me` is the daemon's own record. `pending_reports` are records whose findings or rollout
+    `me` is the daemon's own record. `gossip_left_by_address` is the number of messages that each
+    record is still attached to, `view_hash` an XOR of the hashes of all records, and `generation`
+    increases with each stored record. `pending_reports` are records whose findings or rollout
     statuses have changed and that have not been processed yet.
     """
 
@@ -283,6 +288,7 @@
 
 
 def _merge_me(state: MembershipState, received: Member, now: float) -> None:
+    """Refute a newer record about this daemon by publishing one that supersedes it."""
     if received.incarnation > state.me.incarnation:
         update_me(state, now, incarnation=received.incarnation + 1)
     elif received.incarnation == state.me.incarnation and _rank(received) > _rank(state.me):
@@ -318,9 +324,9 @@
 
 
 def should_reconcile(state: MembershipState, view_hash: int, now: float) -> bool:
-    """Return whether views have differed for so long that full views should be exchanged.
+    """Return whether full views should be exchanged with the sender of a view hash.
 
-    A mismatch counts for more when no gossip is queued, since gossip cannot resolve it then.
+    This is the case after several mismatches, if the last exchange was long enough ago.
     """
     if view_hash == state.view_hash:
         state.mismatches = 0
--- a/hornbeamgw/core/node.py
+++ b/hornbeamgw/core/node.py
@@ -35,7 +35,7 @@
 # A version seen in an envelope is pulled after one to two times this delay, so that a push can
 # arrive first.
 PUSH_GRACE_S = 0.1
-# Upper bound on the members that announce() notifies; gossip reaches the others.
+# Maximum number of members that announce() notifies; gossip reaches the others.
 MAX_ANNOUNCE_TARGETS = 120
 
 Message = Probe | Ack | Indirect | Push | Have | Tally
@@ -72,7 +72,7 @@
 
 
 class StartPull(NamedTuple):
-    """Effect: pull the versions after the known one from an address."""
+    """Effect: pull the versions that follow the known one from an address."""
 
     source: str
 
@@ -142,12 +142,16 @@
 
 
 class _PendingPush(NamedTuple):
+    """A push not yet acknowledged, its timeout, and the receivers that failed to acknowledge it."""
+
     push: Push
     due: float
     excluded: frozenset[str]
 
 
 class _VersionHint(NamedTuple):
+    """A version seen in an envelope, which is pulled at `due` unless it has arrived by then."""
+
     version: int
     sender: str
     due: float
@@ -429,8 +433,8 @@
 ) -> list[Effect]:
     """Change the node's own record and notify other members.
 
-    A small fleet is notified as a whole, a larger one in part: the data centre and a few members
-    chosen at random.
+    In a small fleet, all members are notified; in a larger one, those of the data centre and a few
+    that are chosen at random.
     """
     membership.update_me(node.view, moment.now, **fields)
     others = sorted(m.address for m in membership.reachable(node.view))
--- a/hornbeamgw/core/pacing.py
+++ b/hornbeamgw/core/pacing.py
@@ -12,8 +12,8 @@
 PART_MIN_BYTES = 4 * 1024
 # Size of a part on links that are fast or of unknown bandwidth.
 PART_MAX_BYTES = 256 * 1024
-# A part is written while the backlog is below this, so that the link does not become idle before
-# the writer wakes up.
+# The next part is written once the backlog takes at most this time to send, so that the link does
+# not become idle before the writer wakes up.
 MAX_BACKLOG_S = 0.01
 # Ratio of the bandwidth used for bodies. The rest is left for small messages and packet headers.
 USABLE_BANDWIDTH_RATIO = 0.85
@@ -22,7 +22,7 @@
 
 
 class LinkState:
-    """The send rate of a VM's link (bytes/s), and when it will have sent all written parts."""
+    """Send rate of a VM's link (bytes/s), and the time (s) at which all written parts are sent."""
 
     def __init__(self, bandwidth: float) -> None:
         """Create the state of a link of a bandwidth in bytes/s; 0 (unknown) disables pacing."""
--- a/hornbeamgw/core/placement.py
+++ b/hornbeamgw/core/placement.py
@@ -29,10 +29,11 @@
 # Smoothing factor of the failure probability, and the rate (1/s) at which it decays.
 OUTCOME_SMOOTHING_FACTOR = 0.15
 FAILURE_DECAY_PER_S = 0.25
-# Older load reports are ignored.
+# Load reports older than this are ignored.
 REPORT_MAX_AGE_S = 1.0
-# Range of the random offset that breaks ties.
+# Upper limit of the random time that is added to break ties.
 TIE_BREAK_S = 0.001
+# Weight of the newest measurement in the moving averages of a route's traits.
 TRAITS_SMOOTHING_FACTOR = 0.05
 COLD_FACTOR = 2.0
 
@@ -58,7 +59,7 @@
 
 
 def note_answer(traits: RouteTraits, load: Load, service: float, size: int) -> None:
-    """Update the estimates from the service time (s) and the size (bytes) of one exchange."""
+    """Update the estimates with one request: its service time (s), and size with answer (bytes)."""
     ratio = min(20.0, max(0.05, service / max(traits.service, 1e-4)))
     load.slowness += TRAITS_SMOOTHING_FACTOR * 2 * (ratio - load.slowness)
     normal = service / max(load.slowness, 0.05)
--- a/hornbeamgw/core/quarantine.py
+++ b/hornbeamgw/core/quarantine.py
@@ -25,22 +25,23 @@
 )
 from hornbeamgw.core.fingerprint import UNKNOWN
 
-# Crashes that name a request before it is quarantined. Below this, a client's retries could be
-# blamed for unrelated crashes.
+# Crash reports that name a request before it is quarantined. With fewer, the retries of one client
+# could be blamed for unrelated crashes.
 CRASHES_TO_QUARANTINE = 3
-# Crashes after which a request no longer runs concurrently with another suspect, so that the next
-# crash identifies the cause.
+# Crash reports that name a request before it may no longer run concurrently with another such
+# request, so that the next crash identifies the cause.
 CRASHES_TO_ISOLATE = 2
-# Retries by a client are expected within minutes.
+# Time after which crash reports are dropped. A client is expected to retry within minutes.
 CRASH_REPORT_RETENTION_S = 600.0
 MAX_CRASH_REPORTS = 256
-# The period doubles with each further crash, up to the maximum.
+# Length of the first quarantine of a request. It doubles with each further crash, up to a maximum.
 INITIAL_QUARANTINE_S = 300.0
 MAX_QUARANTINE_S = 3600.0
 MAX_QUARANTINED = 64
-# Gossip reaches all daemons within seconds; daemons that join later do not need the answers.
+# Time for which an answer is announced. Gossip reaches all daemons within seconds, and daemons that
+# join later do not need it.
 ANSWER_ANNOUNCED_S = 30.0
-# Bounds the fingerprints of answered requests that are kept for the current server process.
+# Maximum number of answered requests that are remembered for the current server process.
 MAX_ANSWERED = 2048
 MAX_SEEN_FINDINGS = 2048
 
@@ -48,14 +49,14 @@
 
 
 class CrashReport(NamedTuple):
-    """Hold the requests that were running when a server crashed, and the time of receipt (s)."""
+    """Requests that were running when a server crashed, and the time of receipt (s)."""
 
     received_at: float
     fingerprints: frozenset[int]
 
 
 class QuarantinePeriod(NamedTuple):
-    """Hold the end (s) and duration (s) of a quarantine, and whether it has expired."""
+    """End (s) and duration (s) of a quarantine, and whether it has expired."""
 
     until: float
     duration: float
@@ -63,7 +64,7 @@
 
 
 class AnnouncedFinding(NamedTuple):
-    """Hold a finding of this daemon, its expiry time (s), and whether it must survive restarts."""
+    """Finding of this daemon, its expiry time (s), and whether it must survive restarts."""
 
     finding: Finding
     until: float
@@ -71,7 +72,7 @@
 
 
 class QuarantineChanges(NamedTuple):
-    """List newly quarantined requests with the daemons that reported them, and cleared requests."""
+    """Newly quarantined requests with the daemons that reported them, and cleared requests."""
 
     quarantined: Mapping[int, Sequence[str]]
     cleared: Sequence[int] = ()
@@ -81,7 +82,7 @@
 
 
 class QuarantineState:
-    """Hold the findings of this daemon and of all others, and the resulting quarantines."""
+    """Findings of this daemon and of all others, and the resulting quarantines."""
 
     def __init__(self, address: str, first_number: int) -> None:
         """Start empty; `first_number` must exceed all finding numbers used before a restart."""
@@ -113,10 +114,11 @@
 
 
 def record_refusal(state: QuarantineState, fingerprint: int) -> None:
-    """Announce a quarantine that refused a request here, so that a daemon can contradict it.
+    """Announce a quarantine for which this daemon refused a request, so that it can be cleared.
 
-    A daemon whose server has answered the request then clears the quarantine. The daemons that
-    first announced it may have left. At most `MAX_FINDINGS_PER_KIND` quarantines are announced.
+    A daemon whose server has answered the request clears the quarantine when it receives the
+    announcement. The daemons that first announced the quarantine may have left. At most
+    `MAX_FINDINGS_PER_KIND` quarantines are announced.
     """
     announced = [t.finding for t in state.announced if t.finding.kind is FindingKind.QUARANTINED]
     if len(announced) < MAX_FINDINGS_PER_KIND and all(
@@ -260,7 +262,7 @@
 
 
 def _withdraw_answered(state: QuarantineState, fingerprint: int) -> None:
-    """Stop announcing that a request was answered: servers have crashed under it since."""
+    """Stop announcing that a request was answered, because it has been quarantined since."""
     for index, announced in enumerate(state.announced):
         named = announced.finding.fingerprints
         if announced.finding.kind is FindingKind.ANSWERED and fingerprint in named:
@@ -373,7 +375,7 @@
 
 
 def _is_cause(state: QuarantineState, fingerprint: int) -> bool:
-    """Return whether enough reports name a request and no other is named by all of them."""
+    """Return whether enough reports name a request, and no other request is in all of them."""
     ids = state.report_ids_by_fingerprint.get(fingerprint, set())
     if len(ids) < CRASHES_TO_QUARANTINE:
         return False
--- a/hornbeamgw/core/queueing.py
+++ b/hornbeamgw/core/queueing.py
@@ -4,9 +4,9 @@
 
 The *objective* policy aims at answers within the latency objective. A request is queued only if
 
-- a schedule of all running and queued requests ends it before its objective,
-- it does not push an equally or more urgent request past its objective, and
-- shorter requests still find a slot in time.
+- it is expected to end within its objective, given all running and queued requests,
+- it does not delay an equally or more urgent request beyond its objective, and
+- shorter requests are still expected to get a slot in time.
 
 Other requests are refused at once, so that the caller's daemon can try another server. A queued
 request is dropped only if more urgent ones delay it too much, or if its deadline can no longer be
@@ -34,24 +34,25 @@
 
 # Service times on a cold server, relative to a warm one.
 COLD_SERVICE_TIME_FACTOR = 2.0
-# Part of the latency objective reserved for the network and for estimation errors.
+# Ratio of the latency objective that is reserved for the network and for estimation errors.
 OBJECTIVE_MARGIN_RATIO = 0.1
-# Part of the time to the deadline that a request may plan to use.
+# A request can meet its deadline if it is expected to end within this ratio of the time left.
 DEADLINE_USE_RATIO = 0.85
-# A request waits at most this part of the time that shorter requests can wait. A route counts as
-# shorter if its service time is below this part of the request's and it was seen recently.
+# A request waits at most this ratio of the time that shorter requests can wait.
 MAX_SLACK_USE_RATIO = 0.5
+# A route has shorter requests if its service time is below this ratio of the request's, and if it
+# was seen within this time.
 SHORTER_WORK_RATIO = 0.5
 SLACK_RETENTION_S = 2.0
-# Target for the wait, as a multiple of the service time.
+# Longest wait that is aimed at, as a multiple of the service time.
 TARGET_WAIT_FACTOR = 3.0
-# The last free slot is kept for short, urgent requests only on servers with enough slots, and only
-# if these requests use at least this part of a slot, as an exponentially decaying average.
+# The last free slot is kept for short, urgent requests only on servers with at least this number of
+# slots, and only if these requests use at least this number of slots on average. The average decays
+# exponentially with this time constant.
 MIN_SLOTS_TO_KEEP_LAST = 4
 MIN_SLOT_USE_TO_KEEP_LAST = 0.25
 SLOT_USE_TIME_CONSTANT_S = 2.0
-# Other slots that must stay free when a request starts that will miss its objective, unless it is a
-# retry.
+# Slots that must stay free when a request starts that will miss its objective and is not a retry.
 MIN_SPARE_SLOTS_FOR_LATE = 1
 
 
@@ -59,6 +60,7 @@
 
 
 def _deadline_wait(state: AdmissionState, request: Request, now: float) -> float:
+    """Return the expected wait in seconds behind the requests with an earlier deadline."""
     ahead = sum(queued.deadline <= request.deadline for queued in state.queue)
     return (ahead + 1) * state.mean_service_time / max(1, state.slots)
 
@@ -103,6 +105,7 @@
 
 
 def _latest_end(request: Request) -> float:
+    """Return the time (s) by which a request must end to be answered within its objective."""
     return request.objective - OBJECTIVE_MARGIN_RATIO * request.latency_objective - request.transfer
 
 
@@ -121,7 +124,7 @@
 def _by_target_start(
     state: AdmissionState, requests: Sequence[Request], now: float
 ) -> list[Request]:
-    """Return the requests sorted by target start, including those that have missed it."""
+    """Return the requests sorted by target start, the earliest first."""
     return sorted(requests, key=lambda r: _target_start(state, r, now))
 
 
@@ -194,6 +197,7 @@
 
 
 def _record_slack(state: AdmissionState, request: Request, now: float) -> None:
+    """Record how long requests of this route can wait and still meet their objective."""
     service_time = expected_service_time(state, request, now)
     slack = max(
         0.0,
--- a/hornbeamgw/core/registration.py
+++ b/hornbeamgw/core/registration.py
@@ -1,11 +1,11 @@
 """Registration: determines which backend server is running at an address, from its heartbeats.
 
 A heartbeat may arrive late, even after its sender has died and was replaced by another server,
-possibly with the same name. Runs of a server are distinguished by their start times, and sequence
-numbers order the heartbeats of one run. A run that left, started to drain, or was replaced is never
-registered as serving again, and neither is one that was started before the current run. Servers
-that run side by side listen on different addresses; what is known of each name is shared by all
-addresses.
+possibly with the same instance name. A run is the lifetime of one server process. Runs of the same
+instance are distinguished by their start times, and sequence numbers order the heartbeats of one
+run. A run that left, started to drain, or was replaced is never registered as serving again, and
+neither is one that was started before the current run. Servers that run side by side listen on
+different addresses, and the known runs of each instance are shared by all addresses.
 """
 
 from __future__ import annotations
@@ -17,8 +17,9 @@
 from hornbeamgw.core.membership import ServerState
 
 MAX_INSTANCES = 256
-# A heartbeat of a server that was started before the current one is late unless the current one has
-# been silent for this long (four heartbeats): then the clock was set back between the two starts.
+# A heartbeat of a server that was started before the current one is late, unless the current server
+# has sent no heartbeat for this time (four intervals). In that case the clock is assumed to have
+# been set back between the two starts.
 LATE_HEARTBEAT_WINDOW_S = 6.0
 
 
@@ -40,7 +41,7 @@
 
 
 class Departure(NamedTuple):
-    """Notice that a run of a backend server has ended; `started_ms` is 0 if the run isn't given."""
+    """Notice that a run of a backend server has ended; `started_ms` is 0 for the latest run."""
 
     instance: str
     started_ms: int = 0
@@ -66,7 +67,7 @@
 
 
 def is_same_run(before: Announcement | None, after: Announcement) -> bool:
-    """Return whether two announcements are of the same run of the same server."""
+    """Return whether two announcements are of the same run of the same instance."""
     if before is None:
         return False
     return (before.instance, before.started_ms) == (after.instance, after.started_ms)
@@ -112,7 +113,7 @@
 
 
 def _latest_run(state: RegistrationState, instance: str, started_ms: int) -> _KnownRun:
-    """Return what is known of a run, or of a later run of the same server."""
+    """Return what is known of a run, or of a later run of the same instance."""
     known = state.known_runs_by_instance.get(instance, UNKNOWN_RUN)
     return known if started_ms <= known.started_ms else UNKNOWN_RUN._replace(started_ms=started_ms)
 
@@ -145,16 +146,16 @@
 
 
 def adopt(state: RegistrationState, heartbeat: Heartbeat, now: float) -> None:
-    """Register a server as the current one until a heartbeat of a server arrives."""
+    """Register a server as the current one until the next heartbeat arrives."""
     state.current = heartbeat
     state.received_at = now
     state.latest_started_ms = heartbeat.started_ms
 
 
 def retire(state: RegistrationState, instance: str, started_ms: int = 0) -> bool:
-    """Record that a run has ended; without `started_ms`, the latest known run.
+    """Record that a run of an instance has ended, and return whether it was the registered run.
 
-    Return whether it was the registered one.
+    If `started_ms` is 0, this applies to the latest known run of the instance.
     """
     known = state.known_runs_by_instance.get(instance, UNKNOWN_RUN)
     if 0 < started_ms < known.started_ms:
--- a/hornbeamgw/core/rendezvous.py
+++ b/hornbeamgw/core/rendezvous.py
@@ -8,8 +8,8 @@
 from hornbeamgw.core.membership import Member
 
 MIN_READERS_PER_DATA_CENTRE = 2
-# A reader transfers whole configuration versions, so members with less than this ratio of the
-# widest link's bandwidth are not selected as readers.
+# A reader polls the platform for its data centre and transfers whole versions, so members with less
+# than this ratio of the widest link's bandwidth are not selected as readers.
 READER_MIN_BANDWIDTH_RATIO = 0.5
 # Minimum number of readers in a fleet with few data centres. With fewer, the failure of half of the
 # fleet could leave no reader.
@@ -40,7 +40,7 @@
 
 
 def _readers_per_data_centre(members: Sequence[Member], min_total: int) -> int:
-    """Return the number of readers in each data centre that gives at least `min_total`."""
+    """Return the number of readers per data centre that gives at least `min_total` readers."""
     data_centres = len({m.data_centre for m in members}) or 1
     return max(MIN_READERS_PER_DATA_CENTRE, -(-min_total // data_centres))
 
--- a/hornbeamgw/core/retry_budget.py
+++ b/hornbeamgw/core/retry_budget.py
@@ -15,7 +15,7 @@
 from collections import deque
 from typing import NamedTuple
 
-# Ratio of the budget that is spent. The rest is a margin for requests in flight and for windows
+# Ratio of the budget that may be spent. The rest is a margin for requests in flight and for windows
 # that are not aligned across daemons.
 SPENDABLE_RATIO = 0.9
 # Ratio of the spendable budget that is available to less urgent requests.
@@ -41,6 +41,8 @@
 
 
 class _Window:
+    """Times (s) of the requests and retries to one service in the current window."""
+
     def __init__(self) -> None:
         self.requests: deque[float] = deque()
         self.retries: deque[float] = deque()
@@ -83,7 +85,7 @@
 
 
 def note_nested_retry(state: BudgetState, service: str, probability: float, now: float) -> None:
-    """Charge a nested request with the probability that it comes from a retried request."""
+    """Charge a nested request to the budget, with the probability that a retry caused it."""
     if probability <= 0:
         return
     window = _window(state, service, now)
--- a/hornbeamgw/core/rollout.py
+++ b/hornbeamgw/core/rollout.py
@@ -39,40 +39,43 @@
 from hornbeamgw.core.standing import MOVE_NONE_MS, Closing, Phase, RolloutStatus, supersedes
 
 LEADER_COUNT = 2
+# Lag of each further leader behind the one before it.
 LEADER_LAG_S = 0.4
-# Time between the decision and the order's deadline; the ratio of the duration for short orders.
+# Time between the decision and the order's deadline, at most this ratio of the order's duration.
 DECISION_MARGIN_S = 1.0
 DECISION_MARGIN_RATIO = 0.15
-# (lead time in s, request length in ms): requests expected to take at least this length are moved
-# this long before all others, so that few still run on the old servers when these are stopped.
+# (lead time in s, service time in ms): requests with at least this expected service time are moved
+# this lead time before the full move, so that few still run on the old servers when these are
+# stopped.
 MOVE_SCHEDULE = ((1.1, 1000), (0.5, 500), (0.2, 200), (0.0, 0))
-# Requests that are not idempotent are withheld from the old servers this long before the decision;
-# the ratio of the duration for short orders.
+# Requests that are not idempotent are withheld from the old servers for this time before the
+# decision, at most this ratio of the order's duration.
 CLOSE_LEAD_S = 1.5
 CLOSE_LEAD_RATIO = 0.15
-# Fraction of the decision margin at which an order is completed even if such requests still run.
+# An order is completed when this ratio of the decision margin is left, even if non-idempotent
+# requests still run on the old servers.
 COMPLETION_MARGIN_RATIO = 0.3
 # Time allowed for draining if the deadline passed while the platform was unreachable.
 LATE_DRAIN_S = 1.7
-# Limits of the time during which all requests are moved before the decision; the remaining exposure
-# bound determines the actual time.
+# Limits of the full move, the time before the decision in which all requests go to the new version.
+# The number of requests that the exposure bound still allows determines the actual time.
 MIN_FULL_MOVE_S = 0.6
 MAX_FULL_MOVE_S = 2.0
 # Requests per slot that a server receives in its trial turn.
 BURST_REQUESTS_PER_SLOT = 2.0
 MAX_TURN_S = 6.0
-# The turn length is published again when it should be this many times longer.
+# A new turn length is published when it is at least this many times the last one.
 TURN_UPDATE_FACTOR = 1.5
-# Time for which a rollback is delayed while the evidence against the version is inconclusive.
+# Time after the decision is due for which an inconclusive version is not yet rolled back.
 DOUBT_GRACE_S = 0.6
 # Time until the membership list of a fleet that has just started is considered complete.
 MEMBERSHIP_SETTLE_S = 1.0
 
 
 class Order(NamedTuple):
-    """Operator's order to roll out a version.
+    """Operator's order to roll out the software version `target` of a service.
 
-    The duration is in seconds. Later orders have higher numbers.
+    The order must be decided within its duration (s). Later orders have higher numbers.
     """
 
     service: str
@@ -125,7 +128,7 @@
 
 
 def full_move_seconds(state: RolloutState, at: float) -> float:
-    """Return the seconds for which the bound allows all requests to go to the new version."""
+    """Return the length in seconds of the full move that the exposure bound still allows."""
     allowed, on_trial = _allowed_requests(
         state, max(1.0, at - state.received_at), _request_rate(state, at)
     )
@@ -135,7 +138,10 @@
 
 
 def _allowed_requests(state: RolloutState, elapsed_s: float, rate: float) -> tuple[float, float]:
-    """Return how many requests the new version may get in `elapsed_s`, in total and on trial."""
+    """Return the number of requests that the new version may get in `elapsed_s` seconds.
+
+    The result is a pair: the total, and the number of these that the trial may use.
+    """
     slack = USABLE_SLACK_RATIO * state.bound.slack
     allowed = USABLE_SHARE_RATIO * state.bound.share * elapsed_s * rate + slack
     return allowed, trial_allowance(allowed, slack)
@@ -232,7 +238,7 @@
 
 
 def _while_platform_unreachable(state: RolloutState, at: float) -> Step | None:
-    """Postpone the decision and return to the trial, as no decision can be stored."""
+    """Postpone the decision and return to the trial, since no decision can be stored now."""
     soonest = at + MIN_FULL_MOVE_S
     usual = at + full_move_seconds(state, at) + MOVE_SCHEDULE[0][0]
     latest = max(soonest, min(usual, state.deadline - DOUBT_GRACE_S / 2))
@@ -257,7 +263,7 @@
 
 
 def _length_threshold_ms(state: RolloutState, at: float) -> int:
-    """Return the expected length in ms at or above which requests are moved now."""
+    """Return the expected service time in ms at or above which requests are moved now."""
     left = state.decision_due_at - at - full_move_seconds(state, at)
     lengths = [length_ms for lead, length_ms in MOVE_SCHEDULE if left <= lead]
     return min(lengths, default=MOVE_NONE_MS)
--- a/hornbeamgw/core/sampling.py
+++ b/hornbeamgw/core/sampling.py
@@ -24,12 +24,13 @@
 # The first round queries local servers; the next one queries remote servers, or more local ones if
 # leaving the data centre is not worthwhile.
 MAX_ROUNDS = 2
-# A wait up to this ratio of the latency objective is accepted without querying more servers.
+# A server that expects a wait up to this ratio of the latency objective is used without querying
+# others.
 GOOD_WAIT_RATIO = 0.1
 
 
 def should_ask(choice: Choice) -> bool:
-    """Return whether the service has too many servers for recent load reports from each."""
+    """Return whether to query servers, since the service has too many to have recent reports of."""
     return len(choice.candidates) > ASK_ABOVE_SERVERS
 
 
--- a/hornbeamgw/core/service_times.py
+++ b/hornbeamgw/core/service_times.py
@@ -52,6 +52,6 @@
 def remaining(mean: float, age: float) -> float:
     """Return the expected remaining service time in seconds.
 
-    `mean` is the expected total and `age` the elapsed service time, in seconds.
+    `mean` is the expected total service time and `age` the elapsed time, both in seconds.
     """
     return max(mean - age, OVERDUE_RATIO * age if age > mean else 0.0, 0.001)
--- a/hornbeamgw/core/slots.py
+++ b/hornbeamgw/core/slots.py
@@ -13,11 +13,12 @@
 from hornbeamgw.core.snapshot import Limits
 from hornbeamgw.core.verdict import Failure, Reason
 
+# Mean service time that is assumed before the first measurement.
 INITIAL_SERVICE_TIME_S = 0.005
 
 
 class AttemptId(NamedTuple):
-    """Identify an attempt by the daemon that makes it, its incarnation, and a number."""
+    """Id of an attempt: address and incarnation of the daemon that makes it, and a number."""
 
     member: str
     incarnation: int
@@ -25,13 +26,13 @@
 
 
 class Request(NamedTuple):
-    """Hold the properties of an attempt that admission uses.
+    """Properties of an attempt that admission uses.
 
     Attributes
     ----------
     deadline, objective, arrived_at : float
-        Points in time (s) on the clock that is passed to admission as `now`. The objective is the
-        time by which the answer should arrive, counted from the caller's first try.
+        Points in time (s) on the clock that is passed to admission as `now`. `objective` is the
+        time at which the latency objective ends, counted from the caller's first try.
     latency_objective : float
         Latency objective of the route, in seconds.
     priority : int
@@ -56,7 +57,7 @@
 
 
 class AttemptStatus(enum.StrEnum):
-    """Enumerate the states of an attempt that reached admission."""
+    """State of an attempt that reached admission."""
 
     REFUSED = "refused"
     RUNNING = "running"
@@ -65,19 +66,19 @@
 
 
 class Admitted(NamedTuple):
-    """Decide that a request runs now."""
+    """Decision that a request starts now."""
 
     request: Request
 
 
 class Queued(NamedTuple):
-    """Decide that a request waits until a slot is free."""
+    """Decision that a request waits until a slot is free."""
 
     request: Request
 
 
 class Refused(NamedTuple):
-    """Decide that a request is refused; `failure` says if an earlier copy may have run."""
+    """Decision that a request is refused; `failure` states if an earlier copy may have run."""
 
     request: Request
     failure: Failure
@@ -87,7 +88,11 @@
 
 
 class Outlook(NamedTuple):
-    """Hold whether a request would be admitted or queued, its wait (s), and else a retry delay."""
+    """Expected decision on a request.
+
+    `would_admit` is whether the request would be admitted or queued, and `wait` its expected wait
+    in seconds. If it would be refused, `retry_after_ms` is the delay before a retry.
+    """
 
     would_admit: bool
     wait: float
@@ -95,7 +100,7 @@
 
 
 class QueuePolicy(NamedTuple):
-    """Hold the functions of a queue policy.
+    """Functions of a queue policy.
 
     Attributes
     ----------
@@ -128,14 +133,17 @@
 
 
 class AttemptRecord(NamedTuple):
-    """Hold the latest status of an attempt, and the time (s) it was set."""
+    """Latest status of an attempt, and the time (s) at which it was set."""
 
     status: AttemptStatus
     at: float
 
 
 class RouteSlack(NamedTuple):
-    """Hold how long requests of a route can wait, their service time and the last arrival (s)."""
+    """How long requests of a route can wait for a slot, and their expected service time.
+
+    Both are in seconds, as of the last arrival at the time `seen_at` (s).
+    """
 
     slack: float
     expected_service_time: float
@@ -144,14 +152,14 @@
 
 
 class SlotUse(NamedTuple):
-    """Hold the average number of slots that a route used up to a time (s)."""
+    """Average number of slots used by requests of a route, as of the time `at` (s)."""
 
     slots: float
     at: float
 
 
 class AdmissionState:
-    """Hold a backend server's announced state, its running and its queued requests.
+    """State that a backend server has announced, and its running and queued requests.
 
     Attributes
     ----------
@@ -164,7 +172,7 @@
     slacks_by_route, slot_use_by_route : dict
         Recently seen routes, for queue policies that protect short requests.
     warm_at : float
-        Time (s) from which the server is no longer cold.
+        Time (s) at which the warm-up of the server ends.
     """
 
     def __init__(self, policy: str = "deadline") -> None:
--- a/hornbeamgw/core/snapshot.py
+++ b/hornbeamgw/core/snapshot.py
@@ -94,7 +94,10 @@
 
 
 def _entries(items: Items, base_items: Items, base: Snapshot) -> dict[str, Entry]:
-    """Return the entries by name; unchanged ones are the objects that base routes refer to."""
+    """Return the entries by name.
+
+    Unchanged entries are the objects of the base snapshot, so that its routes can be reused.
+    """
     entries: dict[str, Entry] = {}
     for key, item in items.items():
         if not key.startswith("entry/"):
@@ -156,7 +159,7 @@
 
 
 def _changed_route_keys(items: Items, base_items: Items, changed: list[str]) -> list[str]:
-    """Return the keys of routes to rebuild: changed ones, and those of changed entries."""
+    """Return the keys of the routes to rebuild: changed routes, and those of changed entries."""
     entries = {key.partition("/")[2] for key in changed if key.startswith("entry/")}
     routes = {key for key in changed if key.startswith("route/")}
     if any(f"entry/{name}" in base_items for name in entries):
@@ -193,7 +196,7 @@
 ) -> Result[Snapshot, list[Problem]]:
     """Build the snapshot of a version, or return the problems that make it invalid.
 
-    The base is a snapshot built from the base items. Unchanged objects are reused from it, so
+    `base` is a snapshot that was built from `base_items`. Unchanged objects are reused from it, so
     that the cost depends on the number of changed items.
     """
     problems = validate(items, f"version {version}", base_items)
--- a/hornbeamgw/core/split.py
+++ b/hornbeamgw/core/split.py
@@ -1,7 +1,8 @@
 """Traffic splits: distribute the requests of a route among services by weight.
 
-Each daemon applies smooth weighted round robin, without coordination with others. Its distribution
-stays within one request of the weights, and random initial credits keep daemons out of step.
+Each daemon applies smooth weighted round robin, without coordination with other daemons. The number
+of requests that a service receives stays within one of its weighted share. Random initial credits
+prevent all daemons from selecting the same service at the same time.
 """
 
 from __future__ import annotations
@@ -11,11 +12,12 @@
 
 from hornbeamgw.core.snapshot import Destination, Route
 
+# All credits are discarded when a further route would exceed this number.
 MAX_ROUTES = 4096
 
 
 class SplitState:
-    """Credit of each service, by route."""
+    """Credit of each service, by route; the service with the highest credit is selected next."""
 
     def __init__(self) -> None:
         """Start without routes."""
@@ -27,19 +29,20 @@
     if len(route.destinations) == 1:
         return route.destinations[0].service
     credits = state.credits_by_route.get(route.name)
-    if credits is None or credits.keys() != {part.service for part in route.destinations}:
+    if credits is None or credits.keys() != {d.service for d in route.destinations}:
         credits = _initial_credits(route.destinations, rng)
         if len(state.credits_by_route) >= MAX_ROUTES:
             state.credits_by_route.clear()
         state.credits_by_route[route.name] = credits
-    for part in route.destinations:
-        credits[part.service] += part.share
+    for destination in route.destinations:
+        credits[destination.service] += destination.share
     chosen = max(credits, key=lambda service: credits[service])
     credits[chosen] -= 1
     return chosen
 
 
-def _initial_credits(parts: Sequence[Destination], rng: random.Random) -> dict[str, float]:
-    drawn = {part.service: rng.random() * part.share for part in parts}
+def _initial_credits(destinations: Sequence[Destination], rng: random.Random) -> dict[str, float]:
+    """Return random credits by service, shifted so that their sum is 0."""
+    drawn = {d.service: rng.random() * d.share for d in destinations}
     mean = sum(drawn.values()) / len(drawn)
     return {service: value - mean for service, value in drawn.items()}
--- a/hornbeamgw/core/spreading.py
+++ b/hornbeamgw/core/spreading.py
@@ -4,8 +4,7 @@
 with a bounded fan-out within the data centre. Each push carries the address range that its
 receiver must cover, and a receiver that does not acknowledge is replaced by another one. As a
 fallback, every control message carries the sender's version, and a daemon that receives a higher
-version than its own pulls it. Members that a push misses because views differ get the version
-in this way.
+version than its own pulls it. So do members that a push misses because views differ.
 """
 
 from __future__ import annotations
@@ -65,6 +64,7 @@
 
 
 def _split_range(members: Sequence[Member], fanout: int, high: str) -> list[Target]:
+    """Divide sorted members into at most `fanout` ranges, with one push target for each."""
     targets = []
     size = -(-len(members) // fanout)
     for start in range(0, len(members), max(1, size)):
@@ -150,7 +150,7 @@
 def flood(
     me: Member, members: Sequence[Member], version: int, scope: Scope, low: str, high: str
 ) -> list[Target]:
-    """Return every other member as a push target; every receiver does the same (a baseline)."""
+    """Return every other member as a push target, as a baseline for comparison."""
     others = [m.address for m in members if m.address != me.address]
     return [Target(address, Scope.DATA_CENTRE, MIN_ADDRESS, MIN_ADDRESS) for address in others]
 
@@ -159,7 +159,7 @@
 def poll(
     me: Member, members: Sequence[Member], version: int, scope: Scope, low: str, high: str
 ) -> list[Target]:
-    """Return no push targets; every daemon polls the platform (a baseline)."""
+    """Return no push targets, since every daemon polls the platform; a baseline."""
     return []
 
 
@@ -189,7 +189,10 @@
 
 
 def start_pull(state: PullState, known: int, version: int, sender: str, now: float) -> str | None:
-    """Return the sender if a pull of its version starts now, else None."""
+    """Return the sender if a pull from it starts now, or None.
+
+    `known` is the version that this daemon has, and `version` that of the sender.
+    """
     if version <= known:
         return None
     state.highest_advertised_version = max(state.highest_advertised_version, version)
--- a/hornbeamgw/core/standing.py
+++ b/hornbeamgw/core/standing.py
@@ -5,7 +5,7 @@
 import enum
 from typing import NamedTuple
 
-# Limits the size of a membership record, which must fit into one datagram.
+# Maximum in one membership record, which must fit into one datagram.
 MAX_ROLLOUT_STATUSES = 8
 # Value of `length_ms` at which no requests are moved.
 MOVE_NONE_MS = 0xFFFF
@@ -14,7 +14,7 @@
 class Phase(enum.IntEnum):
     """Destination of a service's requests during a rollout."""
 
-    HELD = 0  # old servers only
+    HELD = 0  # not started: old servers only
     TRIAL = 1  # a small share to the new version
     MOVING = 2  # the longest requests to the new version, then all requests
     BACK = 3  # rolled back: old servers only
@@ -27,18 +27,21 @@
     A request that is not idempotent can't be retried if its server is stopped while it runs.
     """
 
-    OPEN = 0  # all requests that are not moved
-    IDEMPOTENT = (
-        1  # idempotent ones only; others go to the new version or wait if the bound is exhausted
-    )
-    CLOSED = 2  # no new requests, since the new version was accepted; running ones finish
+    # All requests that are not moved.
+    OPEN = 0
+    # Idempotent requests only. Others go to the new version, or wait if that would exceed the limit
+    # on requests to a version that has not been accepted yet (`exposure.ExposureBound`).
+    IDEMPOTENT = 1
+    # No new requests, since the new version was accepted; running ones finish.
+    CLOSED = 2
 
 
 class RolloutStatus(NamedTuple):
-    """Progress of an order; `step` increases with each change.
+    """Status of order `number`, which rolls out the version `target` of a service.
 
-    In the MOVING phase, `length_ms` is the expected length at or above which requests are moved. In
-    the TRIAL phase it is the length of a turn.
+    `step` increases with each change of the status. In the MOVING phase, `length_ms` is the
+    expected service time at or above which requests are moved to the new version. In the TRIAL
+    phase it is the length of a turn, in which one group of servers receives trial requests.
     """
 
     service: str
--- a/hornbeamgw/core/stopping.py
+++ b/hornbeamgw/core/stopping.py
@@ -11,17 +11,18 @@
 
 # Reserved for notifying callers of cancelled requests, closing connections and exiting.
 EXIT_MARGIN_S = 0.35
-# Upper limit for `leave_after`, as a part of the grace period.
+# Upper limit of `leave_after`, the time for which all requests are still accepted, as a ratio of
+# the grace period.
 MAX_LEAVE_RATIO = 1 / 3
-# Requests whose deadline is after the end of a stop may start only in this part of it. The time
-# limit of a stop is also never shorter than this part of the grace period.
+# Requests whose deadline is after the end of a stop may start only within this ratio of its length.
+# A stop may also last for this ratio of the grace period, even if the exit margin is longer.
 UNCERTAIN_START_RATIO = 0.5
 # Expected durations are multiplied by this factor and must still fit before the end of the stop.
 ESTIMATE_SAFETY_FACTOR = 3
 
 
 class Plan(NamedTuple):
-    """Hold the times (s) at which a stop begins, new work is no longer accepted, and it ends."""
+    """Times (s) at which a stop begins, new requests are first refused, and it ends."""
 
     began_at: float
     leaves_at: float
@@ -31,7 +32,8 @@
 def plan(now: float, leave_after: float, drain_limit: float, grace: float) -> Plan:
     """Return the plan of a stop that begins now; all durations are in seconds.
 
-    A grace period of 0 means that the process is not killed.
+    All requests are accepted for `leave_after`, and may then run for another `drain_limit`. The
+    grace period limits both; if it is 0, the process is not killed.
     """
     leaves_at = now + leave_after
     ends_at = leaves_at + drain_limit
@@ -42,7 +44,7 @@
 
 
 def may_send(stop: Plan, transfer: float, now: float) -> bool:
-    """Return whether an answer can be sent in time, given its expected transfer time in seconds."""
+    """Return whether an answer can be sent in time, given its expected transfer time (s)."""
     return now + ESTIMATE_SAFETY_FACTOR * transfer <= stop.ends_at
 
 
--- a/hornbeamgw/core/subsetting.py
+++ b/hornbeamgw/core/subsetting.py
@@ -13,7 +13,7 @@
 from hornbeamgw.core.membership import Member, Status
 from hornbeamgw.core.rendezvous import select_members
 
-# Number of remote servers in a subset; leaves enough of them when a third of the fleet fails.
+# Number of remote servers in a subset, such that enough are left if a third of the fleet fails.
 N_REMOTE = 12
 
 
--- a/hornbeamgw/core/tally.py
+++ b/hornbeamgw/core/tally.py
@@ -14,8 +14,8 @@
 from hornbeamgw.core.service_times import INITIAL_TIME_RATIO
 from hornbeamgw.core.verdict import Failure, Reason
 
-# An answer is slow if it took this many times the typical time. The factor allows for the variation
-# of service times and for servers of different speed.
+# An attempt is slow if it took longer than the typical duration of its route times this factor,
+# which allows for the variation of service times and for servers of different speed.
 SLOW_FACTOR = 3.0
 SERVER_ERROR_STATUS = 500
 MAX_ROUTES = 64
@@ -29,10 +29,10 @@
 
 
 class Tally(NamedTuple):
-    """Counts of a server since it was started; `server` is its number at its daemon.
+    """Counts of a server since it was started; `server` is its number within its daemon.
 
-    `closed_step` is the rollout step at which the server was closed, or 0 while it is open;
-    `unsafe` is the number of non-idempotent requests still running on a closed server.
+    `closed_step` is the rollout step since which the server accepts no non-idempotent requests, or
+    0 if it accepts them; `unsafe` is the number of such requests that still run on it after that.
     """
 
     service: str
@@ -46,8 +46,9 @@
 class AttemptOutcome(NamedTuple):
     """How an attempt ended: its failure, if any, the answer's status, and its duration in seconds.
 
-    `typical_s` is the typical duration that the caller's daemon sent, or 0 if unknown. A cold
-    server is expected to take longer.
+    `typical_s` is the typical duration on the route in seconds, as sent by the caller's daemon, or
+    0 if unknown; `objective_s` is the latency objective in seconds. A cold server is expected to
+    take longer.
     """
 
     failure: Failure | None
@@ -59,16 +60,16 @@
 
 
 def slow_threshold(typical_s: float, objective_s: float, is_cold: bool) -> float:
-    """Return the time in seconds after which a request counts as slow.
+    """Return the duration in seconds above which an attempt counts as slow.
 
     It is derived from the typical duration or, if that is 0, from the latency objective.
     """
-    times = SLOW_FACTOR * (COLD_SERVICE_TIME_FACTOR if is_cold else 1.0)
-    return times * (typical_s or INITIAL_TIME_RATIO * objective_s)
+    factor = SLOW_FACTOR * (COLD_SERVICE_TIME_FACTOR if is_cold else 1.0)
+    return factor * (typical_s or INITIAL_TIME_RATIO * objective_s)
 
 
 def is_bad(outcome: AttemptOutcome) -> bool | None:
-    """Return whether the server caused a bad outcome, or None if that can't be determined."""
+    """Return whether an answer is bad because of the server, or None if that is unknown."""
     is_slow = outcome.elapsed_s > slow_threshold(
         outcome.typical_s, outcome.objective_s, outcome.is_cold
     )
--- a/hornbeamgw/core/transfers.py
+++ b/hornbeamgw/core/transfers.py
@@ -47,7 +47,10 @@
 
 
 def transfer_time(size: float, pending: int, rate: float) -> float:
-    """Return the transfer time in seconds of an answer of `size` bytes."""
+    """Return the transfer time in seconds of an answer of `size` bytes.
+
+    `pending` and `rate` are as for `expected_time`.
+    """
     if rate <= 0 or size <= PART_MIN_BYTES:
         return 0.0
     return (size + pending) / rate
--- a/hornbeamgw/core/verdict.py
+++ b/hornbeamgw/core/verdict.py
@@ -23,10 +23,10 @@
     BACKEND_UNREACHABLE = "backend_unreachable"
     BODY_TOO_LARGE = "body_too_large"
     CALLER_GONE = "caller_gone"
-    COLD = "cold"
+    COLD = "cold"  # the backend server has not finished starting
     DEADLINE = "deadline"
     DRAINING = "draining"
-    FENCED = "fenced"
+    FENCED = "fenced"  # the attempt was already received, or resolved as not run
     LINK_LOST = "link_lost"
     NO_BACKEND = "no_backend"
     NO_CONNECTION = "no_connection"
--- a/hornbeamgw/core/versions.py
+++ b/hornbeamgw/core/versions.py
@@ -61,9 +61,9 @@
 class LearnResult(NamedTuple):
     """The result of processing deltas, a catalogue or a floor.
 
-    `advanced` tells whether the known version is now higher, `applied` is the snapshot that was put
-    in force, if any, `stale_count` the number of versions that were already known, and `failure`
-    the reason why a version was not accepted, or empty.
+    `advanced` is whether the known version has increased, `applied` the snapshot that was put in
+    force, if any, `stale_count` the number of versions that were already known, and `failure` the
+    reason why a version was not accepted, or an empty string.
     """
 
     advanced: bool = False
@@ -73,7 +73,10 @@
 
 
 class VersionState:
-    """The known catalogue, the snapshot in force, the floor and recent deltas."""
+    """The known catalogue, the snapshot in force, the floor and recent deltas.
+
+    The floor is the lowest version that may be put in force; None until it is known.
+    """
 
     def __init__(self) -> None:
         """Create a state with an empty catalogue and no floor."""
@@ -99,6 +102,7 @@
 
 
 def _apply(state: VersionState, now: float) -> Snapshot | None:
+    """Put the known catalogue in force and return its snapshot, or None if that is not allowed."""
     known = state.catalogue
     if state.floor is None or known.version < state.floor:
         return None
