--- a/hornbeamgw/core/split.py
+++ b/hornbeamgw/core/split.py
@@ -29,7 +29,9 @@
     if len(route.destinations) == 1:
         return route.destinations[0].service
     credits = state.credits_by_route.get(route.name)
-    if credits is None or credits.keys() != {d.service for d in route.destinations}:
+    if credits is None or credits.keys() != {
+        destination.service for destination in route.destinations
+    }:
         credits = _initial_credits(route.destinations, rng)
         if len(state.credits_by_route) >= MAX_ROUTES:
             state.credits_by_route.clear()
@@ -43,6 +45,6 @@
 
 def _initial_credits(destinations: Sequence[Destination], rng: random.Random) -> dict[str, float]:
     """Return random credits by service, shifted so that their sum is 0."""
-    drawn = {d.service: rng.random() * d.share for d in destinations}
+    drawn = {destination.service: rng.random() * destination.share for destination in destinations}
     mean = sum(drawn.values()) / len(drawn)
     return {service: value - mean for service, value in drawn.items()}
