--- a/hornbeamgw/core/caller_retries.py
+++ b/hornbeamgw/core/caller_retries.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-# Time limits that differ by at most this count as equal. Any retry takes callers longer than this.
+# Time limits are considered equal up to this difference, which is shorter than any caller's retry.
 TOLERANCE_MS = 4
 # The longest time limit of a route is discarded if no request had it for this time, in case callers
 # have lowered their limit.
@@ -32,7 +32,7 @@
         self.tries = 0
 
 
-class ReturnState:
+class CallerRetryState:
     """Time limits of recent requests, by route."""
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         self.routes_by_name: dict[str, _Route] = {}
 
 
-def elapsed_before(state: ReturnState, route: str, left_ms: int, now: float) -> float:
+def elapsed_before(state: CallerRetryState, route: str, left_ms: int, now: float) -> float:
     """Return the time in seconds that a caller has spent on earlier tries; 0 for a first try.
 
     `left_ms` is the time until the caller's deadline, and `now` the current time in seconds.
--- a/hornbeamgw/core/evidence.py
+++ b/hornbeamgw/core/evidence.py
@@ -22,7 +22,7 @@
 ROLLBACK_DEVIATIONS = 5.0
 # Limit when the rollout is decided; it is lower, since this check is made only once.
 DOUBT_DEVIATIONS = 2.0
-# Limit when the rollout is decided, for the deviations with the cap applied to one server less
+# Limit when the rollout is decided, for the deviations with the cap applied to one server fewer
 # (`Degradation.with_one_more`): if there are few servers, the failing requests may all have reached
 # the same one.
 DOUBT_DEVIATIONS_WITH_ONE_MORE = 2.25
@@ -92,7 +92,7 @@
 class Degradation(NamedTuple):
     """How much worse a version answers, in standard deviations, and on which route.
 
-    `with_one_more` is the same with the cap applied to one server less, so that the excess of one
+    `with_one_more` is the same with the cap applied to one server fewer, so that the excess of one
     more of the worst servers counts in full.
     """
 
--- a/hornbeamgw/core/exposure.py
+++ b/hornbeamgw/core/exposure.py
@@ -182,7 +182,7 @@
     BEFORE = "before"  # servers of versions in use
     TURN = "turn"  # servers of the new version whose trial turn it is
     NEW = "new"  # all servers of the new version
-    WAIT = "wait"  # none yet: old servers are about to be stopped and the limit is reached
+    WAIT = "wait"  # none yet: old servers are about to be stopped and the exposure limit is reached
 
 
 def select_arm(
@@ -212,8 +212,8 @@
 ) -> Arm:
     """Return the arm of a non-idempotent request shortly before the old servers are stopped.
 
-    A waiting request checks the limit many times, and random rounding would at last let it exceed
-    the limit. So after the first check it waits until the order is decided.
+    A waiting request checks the limit many times, and random rounding would eventually let it
+    exceed the limit. So after the first check it waits until the order is decided.
     """
     if not has_waited and _has_room(state, current, rng):
         return Arm.NEW
--- a/hornbeamgw/core/floor.py
+++ b/hornbeamgw/core/floor.py
@@ -13,7 +13,7 @@
 
 
 class FloorAnswer(NamedTuple):
-    """A version reported by a peer, or 0, and whether a read of the platform confirmed it."""
+    """Version reported by a peer (0 if none), and whether a read of the platform confirmed it."""
 
     version: int
     confirmed: bool
--- a/hornbeamgw/core/membership.py
+++ b/hornbeamgw/core/membership.py
@@ -164,9 +164,9 @@
 # recently went down at this average rate, for the length of this window.
 RESTART_PROBES_PER_S = 4.0
 RESTART_PROBE_WINDOW_S = 30.0
-# Consecutive mismatches of view hashes after which full views are exchanged, by weight.
+# Number of consecutive view hash mismatches after which full views are exchanged. A mismatch counts
+# as several while no gossip is queued that could resolve it.
 RECONCILE_MISMATCH_THRESHOLD = 6
-# Weight of a mismatch while no gossip is queued, and so none can resolve it.
 IDLE_MISMATCH_WEIGHT = 2
 MIN_RECONCILE_INTERVAL_S = 2.0
 # The cost of exchanging full views grows with the fleet, and so does the minimum interval: during
--- a/hornbeamgw/core/node.py
+++ b/hornbeamgw/core/node.py
@@ -260,7 +260,10 @@
 
 
 def set_floor(node: Node, floor: int, why: str, moment: Moment) -> list[Effect]:
-    """Set the floor, and apply the known catalogue unless its version is below the floor."""
+    """Set the floor, and apply the known catalogue unless its version is below the floor.
+
+    `why` states how the floor was determined.
+    """
     learned = versions.set_floor(node.versions, floor, moment.wall_time)
     return _record_learned(node, learned, Origin(ArrivalPath.SNAPSHOT, why))
 
--- a/hornbeamgw/core/options.py
+++ b/hornbeamgw/core/options.py
@@ -102,11 +102,11 @@
     ready: NotRequired[Address]
     announcements: NotRequired[Address]
     metrics: NotRequired[Address]
-    seeds: NotRequired[list[Address]]
-    directory: NotRequired[bool]
+    seeds: NotRequired[list[Address]]  # daemons through which this one joins the fleet
+    directory: NotRequired[bool]  # whether daemons find each other through rows of the platform
     first_start: NotRequired[bool]  # the whole fleet starts for the first time, without state
     bandwidth: NotRequired[NonNegativeFloat]  # Mbit/s, 0 if unknown
-    source: NotRequired[ShortText]
+    source: NotRequired[ShortText]  # name of the adapter that provides catalogue versions
     plugins: NotRequired[PluginsSection]
     server: NotRequired[ServerSection]
     budget: NotRequired[BudgetSection]
--- a/hornbeamgw/core/rollout.py
+++ b/hornbeamgw/core/rollout.py
@@ -66,7 +66,7 @@
 MAX_TURN_S = 6.0
 # A new turn length is published when it is at least this many times the last one.
 TURN_UPDATE_FACTOR = 1.5
-# Time after the decision is due for which an inconclusive version is not yet rolled back.
+# Delay of a rollback after the decision is due, in which inconclusive evidence may still improve.
 DOUBT_GRACE_S = 0.6
 # Time until the membership list of a fleet that has just started is considered complete.
 MEMBERSHIP_SETTLE_S = 1.0
@@ -151,7 +151,7 @@
     return min(DECISION_MARGIN_S, DECISION_MARGIN_RATIO * duration)
 
 
-def hear(state: RolloutState, received: RolloutStatus, now: float) -> bool:
+def receive(state: RolloutState, received: RolloutStatus, now: float) -> bool:
     """Adopt a status from another leader; return whether it supersedes the current one."""
     if received.number != state.order.number or not supersedes(received, state.status):
         return False
--- a/hornbeamgw/core/sampling.py
+++ b/hornbeamgw/core/sampling.py
@@ -30,7 +30,7 @@
 
 
 def should_ask(choice: Choice) -> bool:
-    """Return whether to query servers, since the service has too many to have recent reports of."""
+    """Return whether there are too many servers to have a recent load report from each."""
     return len(choice.candidates) > ASK_ABOVE_SERVERS
 
 
--- a/hornbeamgw/core/split.py
+++ b/hornbeamgw/core/split.py
@@ -1,8 +1,8 @@
 """Traffic splits: distribute the requests of a route among services by weight.
 
 Each daemon applies smooth weighted round robin, without coordination with other daemons. The number
-of requests that a service receives stays within one of its weighted share. Random initial credits
-prevent all daemons from selecting the same service at the same time.
+of requests that a service receives differs from its weighted share by at most one. Random initial
+credits prevent all daemons from selecting the same service at the same time.
 """
 
 from __future__ import annotations
--- a/hornbeamgw/core/standing.py
+++ b/hornbeamgw/core/standing.py
@@ -5,7 +5,7 @@
 import enum
 from typing import NamedTuple
 
-# Maximum in one membership record, which must fit into one datagram.
+# Maximum number of statuses in one membership record, which must fit into one datagram.
 MAX_ROLLOUT_STATUSES = 8
 # Value of `length_ms` at which no requests are moved.
 MOVE_NONE_MS = 0xFFFF
@@ -32,7 +32,7 @@
     # Idempotent requests only. Others go to the new version, or wait if that would exceed the limit
     # on requests to a version that has not been accepted yet (`exposure.ExposureBound`).
     IDEMPOTENT = 1
-    # No new requests, since the new version was accepted; running ones finish.
+    # Only retries of idempotent requests, since the new version was accepted; running ones finish.
     CLOSED = 2
 
 
