--- a/features/steps/budget.py
+++ b/features/steps/budget.py
@@ -119,11 +119,7 @@
 
 @given('callers of "{name}" have {left:d} ms at first')
 def first_tries(context, name, left):
-    context.caller_retries, context.name, context.left = (
-        caller_retries.CallerRetryState(),
-        name,
-        left,
-    )
+    context.caller_retries, context.name, context.left = caller_retries.ReturnState(), name, left
     assert caller_retries.elapsed_before(context.caller_retries, name, left, 0.0) == 0
 
 
@@ -134,7 +130,7 @@
 
 @given('first tries of "{name}" whose times differ between {low:d} and {high:d} ms')
 def differing_first_tries(context, name, low, high):
-    context.caller_retries, context.name = caller_retries.CallerRetryState(), name
+    context.caller_retries, context.name = caller_retries.ReturnState(), name
     rng = random.Random(1)
     for _ in range(MANY_TRIES):
         caller_retries.elapsed_before(context.caller_retries, name, rng.randint(low, high), 0.0)
--- a/hornbeamgw/core/caller_retries.py
+++ b/hornbeamgw/core/caller_retries.py
@@ -32,7 +32,7 @@
         self.tries = 0
 
 
-class CallerRetryState:
+class ReturnState:
     """Time limits of recent requests, by route."""
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         self.routes_by_name: dict[str, _Route] = {}
 
 
-def elapsed_before(state: CallerRetryState, route: str, left_ms: int, now: float) -> float:
+def elapsed_before(state: ReturnState, route: str, left_ms: int, now: float) -> float:
     """Return the time in seconds that a caller has spent on earlier tries; 0 for a first try.
 
     `left_ms` is the time until the caller's deadline, and `now` the current time in seconds.
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -23,7 +23,7 @@
     transfers,
 )
 from hornbeamgw.core.balancing import Candidate
-from hornbeamgw.core.caller_retries import CallerRetryState
+from hornbeamgw.core.caller_retries import ReturnState
 from hornbeamgw.core.exposure import ExposureState
 from hornbeamgw.core.retry_budget import BudgetState
 from hornbeamgw.core.snapshot import match_route
@@ -126,7 +126,7 @@
         self._view = view
         self._links = links
         self._servers = servers
-        self._returns = CallerRetryState()
+        self._returns = ReturnState()
         self._replay_limit = replay_limit
         self._rng = rng
 
--- a/hornbeamgw/daemon/rollouts/leader.py
+++ b/hornbeamgw/daemon/rollouts/leader.py
@@ -103,7 +103,7 @@
         self._led_by_service[order.service] = _Led(state, row_state, era)
         known = self._rollouts.state.status_by_version.get((order.service, order.target))
         self._has_work.set()
-        if known is not None and rollout.receive(state, known, now):
+        if known is not None and rollout.hear(state, known, now):
             return
         self._rollouts.hear(state.status)
         if self._rank_of(order.service) is not None:
@@ -151,7 +151,7 @@
             return
         now = asyncio.get_running_loop().time()
         rank = self._rank_of(standing.service)
-        if rollout.receive(led.state, standing, now) and standing.is_final and rank is not None:
+        if rollout.hear(led.state, standing, now) and standing.is_final and rank is not None:
             self._rollouts.tell(standing, is_urgent=False)
             self._record(led.state, wait=(rank + 1) * LEADER_LAG_S)
 
