--- a/hornbeamgw/commands/plots.py
+++ b/hornbeamgw/commands/plots.py
@@ -39,7 +39,7 @@
 def plot_timeline(rows: Sequence[Mapping[str, Any]], version: int, path: str) -> None:
     """Plot the time in ms from acceptance of a version until it is in force on each daemon.
 
-    Bars are coloured by the path on which the version arrived.
+    The colour of a bar shows how the version arrived, such as by push or pull.
     """
     figure, axes = _axes(f"version {version}: accepted, then in force on each daemon", len(rows))
     names = [f"{row['data_centre']}  {row['address']}" for row in rows]
--- a/hornbeamgw/core/admission.py
+++ b/hornbeamgw/core/admission.py
@@ -252,7 +252,7 @@
 
 
 def forget_run(state: AdmissionState) -> None:
-    """Reset the service time statistics when a new server process starts."""
+    """Discard the service time statistics of the previous server process."""
     state.service_time_estimates = ServiceTimes()
     state.slacks_by_route.clear()
     state.slot_use_by_route.clear()
--- a/hornbeamgw/core/balancing.py
+++ b/hornbeamgw/core/balancing.py
@@ -105,7 +105,10 @@
 
 
 def _cost(candidate: Candidate, now: float) -> float:
-    """Return the used slots, including one for the new call, relative to the ramped capacity."""
+    """Return the ratio of used slots, including one for the new call, to the current capacity.
+
+    The capacity of a server that was first seen recently is reduced (slow start).
+    """
     load, slots = candidate.load, max(1, candidate.member.slots)
     used = load.outstanding
     if load.free_slots is not None:
--- a/hornbeamgw/core/placement.py
+++ b/hornbeamgw/core/placement.py
@@ -134,7 +134,7 @@
 
 
 class PlacementState:
-    """The traits of each route."""
+    """Traits of the requests of each route."""
 
     def __init__(self) -> None:
         """Start without measurements."""
--- a/hornbeamgw/core/quarantine.py
+++ b/hornbeamgw/core/quarantine.py
@@ -148,7 +148,7 @@
 
 
 def forget_run(state: QuarantineState) -> None:
-    """Discard the answered requests when a new server process starts."""
+    """Discard the requests that the previous server process answered."""
     state.answered.clear()
 
 
--- a/hornbeamgw/core/standing.py
+++ b/hornbeamgw/core/standing.py
@@ -65,5 +65,5 @@
 
 
 def supersedes(received: RolloutStatus, held: RolloutStatus | None) -> bool:
-    """Return whether a received status replaces the one held for the same version."""
+    """Return whether a received status replaces the known one (`held`) for the same version."""
     return held is None or _rank(received) > _rank(held)
