--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -30,7 +30,7 @@
 from hornbeamgw.daemon.adoption import Adoption
 from hornbeamgw.daemon.announcements import Announcements, decoders_by_name
 from hornbeamgw.daemon.attempts import Links
-from hornbeamgw.daemon.calls import Calls, Identity, View
+from hornbeamgw.daemon.calls import Calls, Identity, MeshView
 from hornbeamgw.daemon.committer import Committer
 from hornbeamgw.daemon.control import Control
 from hornbeamgw.daemon.directory import Directory
@@ -39,7 +39,7 @@
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.http1 import HttpConnection
 from hornbeamgw.daemon.http_server import (
-    ADMIN_BODY_LIMIT,
+    MAX_ADMIN_BODY_BYTES,
     HttpServer,
     Timeouts,
     json_response,
@@ -93,10 +93,10 @@
         dialect = dialects_by_name[settings.calls_dialect]
         self.control = Control(settings, me, rng)
         self.quarantine = Quarantine(me, self._publish_findings)
-        self.control.on_news.append(self.quarantine.receive)
+        self.control.on_member_report.append(self.quarantine.receive)
         allowed = ExposureBound(settings.rollouts_share, settings.rollouts_slack)
         self.rollouts = Rollouts(allowed, self._publish_standings)
-        self.control.on_news.append(self.rollouts.hear_member)
+        self.control.on_member_report.append(self.rollouts.receive_member)
         source = sources.factories_by_name[settings.source](
             self.control, platform, settings.platform_poll, rng, settings.platform_adapter
         )
@@ -105,7 +105,7 @@
         )
         self._own_row = own_row
         if own_row is not None:
-            self.control.on_era.append(lambda era: own_row.note_era())
+            self.control.on_era.append(lambda era: own_row.rewrite_after_restore())
         directory = _directory(settings, self.control, platform, rng, own_row)
         self.reader = Reader(self.control, source, rng, directory)
         self.leader = _leader(settings, self.control, platform, source, self.rollouts, self.reader)
@@ -123,10 +123,10 @@
             )
         )
         crossed = self.control.meter.crossed
-        self.links = Links(lambda: self.control.hello, self.control.fault, crossed)
+        self.links = Links(lambda: self.control.hello, self.control.record_fault, crossed)
         choose = balancing.chooser_of(settings.calls_balancing)
         exposed = self.rollouts.state
-        servers = Servers(self.links, choose, rng, self.gates.own_outlook, exposed)
+        servers = Servers(self.links, choose, rng, self.gates.local_outlook, exposed)
         replay_limit = round(settings.calls_replay_limit)
         identity = Identity(dialect, settings.server_service)
         bound = Bound(settings.budget_ratio, settings.budget_slack, settings.budget_window)
@@ -139,7 +139,7 @@
             rng,
             identity,
             self.budget,
-            self.gates.repeat_share,
+            self.gates.retry_ratio,
             pacer,
             self.quarantine,
             exposed,
@@ -179,9 +179,9 @@
         is_own = name == self.settings.server_service
         return is_own or not snapshot.version or name in snapshot.services
 
-    def _view(self) -> View:
+    def _view(self) -> MeshView:
         view = self.control.view
-        return View(
+        return MeshView(
             versions.is_ready(self.control.versions),
             self.control.versions.snapshot,
             view.me,
@@ -190,7 +190,7 @@
         )
 
     def _on_server_change(self) -> None:
-        self.control.update_me(**self.gates.record())
+        self.control.update_me(**self.gates.member_fields())
 
     def _publish_findings(
         self, findings: tuple[Finding, ...], kept: tuple[Finding, ...], is_urgent: bool
@@ -199,7 +199,7 @@
         if is_urgent:
             self.control.announce_everywhere()
         if self._own_row is not None:
-            self._own_row.note_findings(kept)
+            self._own_row.set_findings(kept)
 
     def _publish_standings(self, standings: tuple[RolloutStatus, ...], is_urgent: bool) -> None:
         self.control.update_me(standings=standings)
@@ -231,7 +231,7 @@
         self.control.spawn(self.reader.poll_loop())
         self.control.spawn(self._check_loop())
         if self.leader is not None:
-            self.reader.watches_closely = self.rollouts.has_undecided
+            self.reader.needs_short_watch = self.rollouts.has_undecided
             self.control.spawn(self.leader.run())
             send = self.control.send_tally
             tallies = send_tallies(self.gates, self.rollouts, self._leaders_of, send)
@@ -246,7 +246,7 @@
 
     async def _on_ready_request(self, connection: HttpConnection, request: h11.Request) -> None:
         """Say whether callers may be sent here: with a version in force, and not stopping."""
-        await read_body(connection, ADMIN_BODY_LIMIT)
+        await read_body(connection, MAX_ADMIN_BODY_BYTES)
         ready = versions.is_ready(self.control.versions) and not self.calls.draining
         version = self.control.versions.snapshot.version
         json_response(connection, 200 if ready else 503, {"ready": ready, "version": version})
--- a/hornbeamgw/daemon/planned_stop.py
+++ b/hornbeamgw/daemon/planned_stop.py
@@ -10,7 +10,7 @@
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.http_server import HttpServer
 from hornbeamgw.daemon.peers import PeerServer
-from hornbeamgw.daemon.progress import MOST_TOLD
+from hornbeamgw.daemon.progress import MAX_LOGGED_CALLS
 
 log = logging.getLogger(__name__)
 
@@ -72,9 +72,9 @@
         await self._gates.wait_idle()
         # What a process has written is lost with it as long as the sockets have not taken it, and
         # a link that is closed may be reset before the other side has read what they took.
-        while self._callers.unsent():
+        while self._callers.unsent_bytes():
             await asyncio.sleep(CHECK_EVERY_S)
-        await self._peers.wait_read()
+        await self._peers.wait_until_read()
 
     def _cut_off(self) -> list[str]:
         now = asyncio.get_running_loop().time()
@@ -82,7 +82,7 @@
             ("caller", self._calls.unfinished(now)),
             ("daemon", self._gates.unfinished(now)),
         ):
-            for told in found[:MOST_TOLD]:
+            for told in found[:MAX_LOGGED_CALLS]:
                 extra = {"taken_from": taken_from, **told._asdict()}
                 log.warning("cut off by the stop", extra=extra)
         connections = f"{len(self._callers.connections)} connections of callers"
--- a/hornbeamgw/daemon/server_exchange.py
+++ b/hornbeamgw/daemon/server_exchange.py
@@ -22,7 +22,7 @@
 from hornbeamgw.daemon.end_watch import CrashDetector
 from hornbeamgw.daemon.flow import WINDOW_BYTES, Pacer
 from hornbeamgw.daemon.gate_attempt import GateAttempt, pump_body
-from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, end_to_end, header
+from hornbeamgw.daemon.http1 import ConnectionLost, HttpConnection, end_to_end_headers, header
 from hornbeamgw.daemon.link import Link
 from hornbeamgw.daemon.outgoing import OutgoingAnswer
 
@@ -180,7 +180,7 @@
         reply = frames.Reply(
             attempt.call.attempt,
             event.status_code,
-            heads.encode_headers(end_to_end(event.headers)),
+            heads.encode_headers(end_to_end_headers(event.headers)),
             first,
             is_complete,
             *self.load(),
@@ -194,10 +194,10 @@
         if attempt.limit is not None:
             attempt.limit.reschedule(limit)
         outgoing = self._open_outgoing(attempt, limit)
-        if attempt.is_dropped:
+        if attempt.is_answer_dropped:
             outgoing.stop()
         outgoing.window.available -= len(first)
-        outgoing.progress.passed_on = len(first)
+        outgoing.progress.forwarded_bytes = len(first)
         outgoing.put(rest, end)
         size = len(first) + len(rest)
         while not end:
--- a/hornbeamgw/daemon/servers.py
+++ b/hornbeamgw/daemon/servers.py
@@ -15,7 +15,7 @@
 from hornbeamgw.core.placement import PlacementState, RouteTraits
 from hornbeamgw.daemon import frames
 from hornbeamgw.daemon.attempts import Links
-from hornbeamgw.daemon.call import Call, View, objective_left_ms, sooner
+from hornbeamgw.daemon.call import Call, MeshView, earliest_retry_ms, objective_left_ms
 from hornbeamgw.daemon.outlooks import QueryResult, is_good_enough
 
 OwnOutlook = Callable[[frames.OutlookRequest], frames.Outlook]
@@ -64,21 +64,21 @@
 
     def traits_of(self, call: Call) -> RouteTraits:
         """Return the expected service time and answer size of a call's route."""
-        return placement.traits_of(self._placement, call.route.name, call.aim)
+        return placement.traits_of(self._placement, call.route.name, call.latency_objective)
 
-    def min_bandwidth(self, call: Call, view: View) -> float:
+    def min_bandwidth(self, call: Call, view: MeshView) -> float:
         """Return the smallest known bandwidth of the servers' VMs in bytes/s, or 0."""
         candidates = self._candidates(view, call.service, asyncio.get_running_loop().time())
         known = (c.member.bandwidth for c in candidates if c.member.bandwidth)
         return min(known, default=0)
 
-    def has_untried(self, call: Call, view: View, now: float) -> bool:
+    def has_untried(self, call: Call, view: MeshView, now: float) -> bool:
         """Return whether there is a server that the call has not been sent to."""
         candidates = self._candidates(view, call.service, now)
         return any(c.key not in call.tried for c in candidates)
 
     def _candidates(
-        self, view: View, service: str, now: float, arm: Arm = Arm.BEFORE
+        self, view: MeshView, service: str, now: float, arm: Arm = Arm.BEFORE
     ) -> list[Candidate]:
         """Return the servers that a call may be sent to; they are cached until a change."""
         cache_key = view.generation, self._exposure_state.generation
@@ -95,7 +95,7 @@
                 self._candidates_by_arm[service, arm] = candidates
         return candidates
 
-    def _arm_members(self, view: View, service: str, now: float, arm: Arm) -> list[Member]:
+    def _arm_members(self, view: MeshView, service: str, now: float, arm: Arm) -> list[Member]:
         serving = self._serving_by_service.get(service)
         if serving is None:
             serving = balancing.serving(view.members, service)
@@ -123,12 +123,14 @@
             self._loads_by_key[key] = (member.server_started_ms, load)
         return load
 
-    def _choice(self, call: Call, view: View, now: float, arm: Arm) -> Choice:
+    def _choice(self, call: Call, view: MeshView, now: float, arm: Arm) -> Choice:
         traits = self.traits_of(call)
         candidates = self._candidates(view, call.service, now, arm)
         if not candidates:
             candidates = self._candidates(view, call.service, now)
-        return Choice(view.me, candidates, call.tried, traits, call.aim, now, call.objective)
+        return Choice(
+            view.me, candidates, call.tried, traits, call.latency_objective, now, call.answer_by
+        )
 
     def _arm_of(self, call: Call, has_waited: bool = False) -> Arm:
         if not self._exposure_state.current_by_service:
@@ -151,10 +153,10 @@
         while arm is Arm.WAIT and loop.time() < until and not (call.caller_gone or call.expired):
             await asyncio.sleep(REPLACEMENT_POLL_S)
             arm = self._arm_of(call, has_waited=True)
-        call.waited += loop.time() - started_at
+        call.replacement_wait += loop.time() - started_at
         return Arm.BEFORE if arm is Arm.WAIT else arm
 
-    async def choose(self, call: Call, view: View) -> Candidate | None:
+    async def choose(self, call: Call, view: MeshView) -> Candidate | None:
         """Choose a server for a call, by load reports or by querying a sample of the servers."""
         arm = await self._wait_for_arm(call)
         choice = self._choice(call, view, asyncio.get_running_loop().time(), arm)
@@ -169,15 +171,17 @@
         if own is not None:
             return own
         found = self._best_taker(call, choice)
-        while call.rounds_left and not (found and sampling.is_short(found.load.wait, call.aim)):
-            is_first = call.rounds_left == sampling.MAX_ROUNDS
+        while call.sampling_rounds_left and not (
+            found and sampling.is_short(found.load.wait, call.latency_objective)
+        ):
+            is_first = call.sampling_rounds_left == sampling.MAX_ROUNDS
             is_near = is_first or not crossing.is_remote_better(choice, found)
-            call.rounds_left -= 1
+            call.sampling_rounds_left -= 1
             sampled = sampling.sample(choice, is_near, self._rng)
             result = await self._query(call, [c for c in sampled if c not in call.takers])
             call.takers += result.takers
             call.tried += [c.key for c in result.refusers]
-            call.retry_after_ms = sooner(call.retry_after_ms, result.retry_after_ms)
+            call.retry_after_ms = earliest_retry_ms(call.retry_after_ms, result.retry_after_ms)
             choice = choice._replace(now=asyncio.get_running_loop().time())
             found = self._best_taker(call, choice)
         if found is None and not call.retry_after_ms:
@@ -196,7 +200,7 @@
             if not result.refusers:
                 return chosen
             call.tried.append(chosen.key)
-            call.retry_after_ms = sooner(call.retry_after_ms, result.retry_after_ms)
+            call.retry_after_ms = earliest_retry_ms(call.retry_after_ms, result.retry_after_ms)
             choice = choice._replace(now=asyncio.get_running_loop().time())
         return None
 
@@ -223,7 +227,7 @@
         return own if is_good_enough(own, outlook) else None
 
     async def _query(self, call: Call, candidates: Sequence[Candidate]) -> QueryResult:
-        links = [(c, self._links.open_link(c.member.address)) for c in candidates]
+        links = [(c, self._links.link_if_open(c.member.address)) for c in candidates]
         # Answers are matched by link, so only the first of several servers of a daemon is queried.
         candidates_by_link = {
             link: candidate for candidate, link in reversed(links) if link is not None
@@ -232,7 +236,7 @@
             return NO_ANSWERS
         request = _outlook_request(call, asyncio.get_running_loop().time())
         self._links.counts["outlooks_asked"] += len(candidates_by_link)
-        call.asked += len(candidates_by_link)
+        call.gates_asked += len(candidates_by_link)
         return await self._links.outlooks.ask(candidates_by_link, request)
 
 
@@ -246,5 +250,5 @@
         objective_left_ms(call, now),
         call.route.objective_ms,
         call.route.priority,
-        call.came_back,
+        call.is_caller_retry,
     )
--- a/properties/mutants.py
+++ b/properties/mutants.py
@@ -80,7 +80,7 @@
     Mutant(
         "a daemon that stops ends once others have read what it sent",
         "hornbeamgw/daemon/planned_stop.py",
-        (("        await self._peers.wait_read()\n", ""),),
+        (("        await self._peers.wait_until_read()\n", ""),),
         OVERLAPS,
     ),
     Mutant(
@@ -121,7 +121,12 @@
     Mutant(
         "a closed server runs no further request that is not idempotent",
         "hornbeamgw/daemon/gate.py",
-        (("        if not call.idempotent and self._is_closed():", "        if False:"),),
+        (
+            (
+                "        if not call.idempotent and self._is_closed_by_rollout():",
+                "        if False:",
+            ),
+        ),
         ROLLOUTS,
     ),
     Mutant(
@@ -150,7 +155,7 @@
     Mutant(
         "a daemon that starts takes what its peers have in force",
         "hornbeamgw/daemon/reader.py",
-        (("        await self._pull_beyond(head)\n", ""),),
+        (("        await self._pull_newer_than(head)\n", ""),),
         ERA,
     ),
     Mutant(
