--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -12,8 +12,8 @@
 
 from benchmarks.report import emit, register, say, slope
 from hornbeamgw.core.edit import Change, Edit
-from hornbeamgw.testing.demo import CONTROL_KINDS, convergence_ms, example_edit
-from hornbeamgw.testing.fleet import Fleet, Node, Place, ask
+from hornbeamgw.testing.demo import CONTROL_MESSAGE_KINDS, convergence_ms, example_edit
+from hornbeamgw.testing.fleet import Fleet, Node, NodeSpec, request_json
 
 SIZES = tuple(int(size) for size in os.environ.get("SIZES", "10,25,50,100,200").split(","))
 BASELINE_SIZES = tuple(size for size in SIZES if size in (25, 100))
@@ -29,10 +29,10 @@
 RESTART_AT_ONCE = 16
 
 
-def places(count: int) -> list[Place]:
+def places(count: int) -> list[NodeSpec]:
     """Return places for daemons alone, in 9 data centres of 3 regions."""
     return [
-        Place(f"dc-{i % DATA_CENTRES}", f"region-{i % DATA_CENTRES % REGIONS}")
+        NodeSpec(f"dc-{i % DATA_CENTRES}", f"region-{i % DATA_CENTRES % REGIONS}")
         for i in range(count)
     ]
 
@@ -47,8 +47,8 @@
 
 async def totals(fleet: Fleet, nodes: Sequence[Node]) -> Totals:
     """Return the counters now."""
-    rows = await asyncio.gather(*(ask(n.admin, "GET", "/counters") for n in nodes))
-    platform = await ask(fleet.platform_address, "GET", "/control")
+    rows = await asyncio.gather(*(request_json(n.admin, "GET", "/counters") for n in nodes))
+    platform = await request_json(fleet.platform_address, "GET", "/control")
     return Totals(time.monotonic(), list(rows), platform["reads"])
 
 
@@ -61,29 +61,29 @@
 
 
 def _received(row: dict[str, Any]) -> int:
-    return sum(row["bytes_in"].get(kind, 0) for kind in CONTROL_KINDS)
+    return sum(row["bytes_in"].get(kind, 0) for kind in CONTROL_MESSAGE_KINDS)
 
 
 async def _change(fleet: Fleet, number: int, rng: random.Random) -> tuple[float, int]:
     alive = [n for n in fleet.nodes if n.daemon.alive]
     node = rng.choice(alive)
-    catalogue = await ask(node.admin, "GET", "/catalogue")
+    catalogue = await request_json(node.admin, "GET", "/catalogue")
     key = rng.choice(sorted(k for k in catalogue["items"] if k.startswith("entry/")))
     revision, body = catalogue["items"][key]
     body["limits"]["queue"] = 20 + number
     change = Change(key=key, based_on=revision, body=body)
     edit = Edit(edit_id=f"bench-{number}-{rng.random()}", author="bench", changes=[change])
-    answer = await ask(node.admin, "POST", "/edits", edit)
+    answer = await request_json(node.admin, "POST", "/edits", edit)
     version = int(answer["version"])
     if not await fleet.wait_in_force(version, LIMIT_S):
         raise RuntimeError(f"version {version} is not in force everywhere in {LIMIT_S} s")
-    timeline = await ask(node.admin, "GET", f"/timeline?version={version}")
+    timeline = await request_json(node.admin, "GET", f"/timeline?version={version}")
     return await convergence_ms(fleet, version), int(timeline["arrival"]["size"])
 
 
 async def _ready(fleet: Fleet, count: int) -> None:
-    await fleet.start_nodes(places(count), at_once=RESTART_AT_ONCE)
-    answer = await ask(fleet.nodes[0].admin, "POST", "/edits", example_edit(0))
+    await fleet.start_nodes(places(count), concurrency=RESTART_AT_ONCE)
+    answer = await request_json(fleet.nodes[0].admin, "POST", "/edits", example_edit(0))
     if not await fleet.wait_in_force(answer["version"], LIMIT_S):
         raise RuntimeError("the example catalogue is not in force everywhere")
     if not await fleet.wait_members(LIMIT_S):
@@ -95,7 +95,9 @@
     """Wait until nobody has a join left to gossip."""
     async with asyncio.timeout(SETTLE_LIMIT_S):
         while True:
-            rows = await asyncio.gather(*(ask(n.admin, "GET", "/counters") for n in fleet.nodes))
+            rows = await asyncio.gather(
+                *(request_json(n.admin, "GET", "/counters") for n in fleet.nodes)
+            )
             if not any(row["gossip_left"] for row in rows):
                 return
             await asyncio.sleep(1.0)
@@ -195,7 +197,7 @@
         done = await fleet.wait_in_force(version, 60.0)
         took = time.monotonic() - started
         watcher.cancel()
-        platform = await ask(fleet.platform_address, "GET", "/control")
+        platform = await request_json(fleet.platform_address, "GET", "/control")
         more = {"daemons": STORM_SIZE, "killed": len(victims), "all_in_force": done}
         emit(
             "all in force after restart", "s", [took], spawning=round(spawned - started, 2), **more
--- a/benchmarks/data.py
+++ b/benchmarks/data.py
@@ -11,7 +11,7 @@
 from hornbeamgw.core.verdict import Verdict
 from hornbeamgw.daemon.http1 import HttpClient
 from hornbeamgw.testing.demo import example_edit
-from hornbeamgw.testing.fleet import Fleet, Node, Place, ask
+from hornbeamgw.testing.fleet import Fleet, Node, NodeSpec, request_json
 from hornbeamgw.testing.load import KINDS, Kind, Load, audit, call
 from hornbeamgw.testing.stats import percentile
 
@@ -39,9 +39,9 @@
         self.times.append(outcome.elapsed * 1000)
 
 
-async def ready(fleet: Fleet, places: list[Place], service: str) -> None:
+async def ready(fleet: Fleet, places: list[NodeSpec], service: str) -> None:
     await fleet.start_nodes(places)
-    answer = await ask(fleet.nodes[0].admin, "POST", "/edits", example_edit(0))
+    answer = await request_json(fleet.nodes[0].admin, "POST", "/edits", example_edit(0))
     if not await fleet.wait_in_force(answer["version"], LIMIT_S):
         raise RuntimeError("the example catalogue is not in force everywhere")
     wanted = sum(place.service == service for place in places)
@@ -52,7 +52,7 @@
 
 
 async def _serving(node: Node, service: str) -> int:
-    members = (await ask(node.admin, "GET", "/status"))["members"]
+    members = (await request_json(node.admin, "GET", "/status"))["members"]
     serving = [m for m in members if m["server_state"] == "serving"]
     return sum(m["service"] == service for m in serving)
 
@@ -96,13 +96,13 @@
 async def added_latency() -> None:
     """Time calls straight, through two byte relays, and through two daemons."""
     async with Fleet("latency", {"log_level": "WARNING"}) as fleet:
-        server = Place("suva-1", "fiji", "slot-desk", slots=64, work_ms=0)
-        await ready(fleet, [Place("suva-1", "fiji"), server], "slot-desk")
+        server = NodeSpec("suva-1", "fiji", "slot-desk", slots=64, work_ms=0)
+        await ready(fleet, [NodeSpec("suva-1", "fiji"), server], "slot-desk")
         backend = fleet.nodes[1].backend
         assert backend is not None
-        address = str(backend.said["listening"])
-        second = await fleet.start_other("relay", ["benchmarks.relay", address])
-        first = await fleet.start_other("relay", ["benchmarks.relay", second])
+        address = str(backend.bound_addresses["listening"])
+        second = await fleet.start_process("relay", ["benchmarks.relay", address])
+        first = await fleet.start_process("relay", ["benchmarks.relay", second])
         pools = {
             "direct": Pool(address),
             "relay": Pool(first),
@@ -119,21 +119,25 @@
     """Drain backend servers under load; count what is cut off and what comes late."""
     late, cut_off = [], []
     async with Fleet("drain", {"log_level": "WARNING"}) as fleet:
-        places = [Place(f"suva-{i % 3 + 1}", "fiji", "slot-desk") for i in range(DRAINS + 3)]
+        places = [NodeSpec(f"suva-{i % 3 + 1}", "fiji", "slot-desk") for i in range(DRAINS + 3)]
         await ready(fleet, places, "slot-desk")
         load = Load(lambda: [n.callers for n in fleet.nodes], random.Random(1), KINDS[:1])
         load.start(16, 0.005)
         for node in fleet.nodes[:DRAINS]:
             await asyncio.sleep(1.0)
             assert node.backend is not None
-            report = await ask(node.backend.said["listening"], "POST", "/control/drain")
+            report = await request_json(
+                node.backend.bound_addresses["listening"], "POST", "/control/drain"
+            )
             await asyncio.sleep(1.0)
-            after = await ask(node.backend.said["listening"], "POST", "/control/report")
+            after = await request_json(
+                node.backend.bound_addresses["listening"], "POST", "/control/report"
+            )
             late.append(float(len(after["after_drain"])))
             cut_off.append(float(len(report["broken"]) + len(after["broken"])))
         await load.stop()
         reports = [
-            await ask(n.backend.said["listening"], "POST", "/control/report")
+            await request_json(n.backend.bound_addresses["listening"], "POST", "/control/report")
             for n in fleet.nodes
             if n.backend is not None
         ]
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -11,8 +11,8 @@
 
 from benchmarks.data import LIMIT_S
 from benchmarks.report import emit, register, say
-from hornbeamgw.testing.demo import example_edit, places
-from hornbeamgw.testing.fleet import Fleet, Node, ask
+from hornbeamgw.testing.demo import example_edit, node_specs
+from hornbeamgw.testing.fleet import Fleet, Node, request_json
 from hornbeamgw.testing.load import Load, audit
 
 SECONDS = float(os.environ.get("SECONDS_OF_FAULTS", "300"))
@@ -61,11 +61,11 @@
 
     async def _drain_backend(self, node: Node) -> None:
         assert node.backend is not None
-        address = node.backend.said["listening"]
-        before = await ask(address, "POST", "/control/report")
-        await ask(address, "POST", "/control/drain")
+        address = node.backend.bound_addresses["listening"]
+        before = await request_json(address, "POST", "/control/report")
+        await request_json(address, "POST", "/control/drain")
         await asyncio.sleep(1.0)
-        last = await ask(address, "POST", "/control/report")
+        last = await request_json(address, "POST", "/control/report")
         self.cut_off += len(last["broken"]) - len(before["broken"])
         self.after_drain += len(last["after_drain"])
         self.reports.append(last)
@@ -82,7 +82,7 @@
         """Replace the whole VM: a drained daemon takes no new server."""
         await node.daemon.stop()
         await self.fleet.restart_daemon(node)
-        node.backend = await self.fleet.start_backend(node.place, node.daemon)
+        node.backend = await self.fleet.start_backend(node.spec, node.daemon)
 
     async def _platform_outage(self, node: Node) -> None:
         await self.fleet.fault(kind="outage", seconds=self.rng.uniform(1, 5))
@@ -93,8 +93,8 @@
     """Hurt a fleet of today's size under load, and count at the backend servers."""
     rng = random.Random(1)
     async with Fleet("faults", {"log_level": "INFO"}) as fleet:
-        await fleet.start_nodes(places())
-        answer = await ask(fleet.nodes[0].admin, "POST", "/edits", example_edit(0))
+        await fleet.start_nodes(node_specs())
+        answer = await request_json(fleet.nodes[0].admin, "POST", "/edits", example_edit(0))
         if not await fleet.wait_in_force(answer["version"], LIMIT_S):
             raise RuntimeError("the example catalogue is not in force everywhere")
         await fleet.wait_members(LIMIT_S)
@@ -114,10 +114,13 @@
         await load.stop()
         await asyncio.sleep(1.0)
         backends = [n.backend for n in fleet.nodes if n.backend is not None and n.backend.alive]
-        asked = [ask(b.said["listening"], "POST", "/control/report") for b in backends]
+        asked = [
+            request_json(b.bound_addresses["listening"], "POST", "/control/report")
+            for b in backends
+        ]
         reports = chaos.reports + list(await asyncio.gather(*asked))
         nodes = [n for n in fleet.nodes if n.daemon.alive]
-        rows = await asyncio.gather(*(ask(n.admin, "GET", "/counters") for n in nodes))
+        rows = await asyncio.gather(*(request_json(n.admin, "GET", "/counters") for n in nodes))
     _emit(load, chaos, reports, list(rows))
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -10,7 +10,7 @@
 from benchmarks.report import emit, register, say
 from hornbeamgw.core.verdict import Verdict
 from hornbeamgw.daemon.http1 import HttpClient
-from hornbeamgw.testing.fleet import Fleet, Place, ask
+from hornbeamgw.testing.fleet import Fleet, NodeSpec, request_json
 from hornbeamgw.testing.load import Kind, Outcome, audit, call
 from hornbeamgw.testing.stats import percentile
 
@@ -61,7 +61,8 @@
     """Raise a bulk class to three times the slots beside a steady latency-sensitive class."""
     async with Fleet("overload", {"log_level": "WARNING"}) as fleet:
         places = [
-            Place(f"suva-{i + 1}", "fiji", "slot-desk", SLOTS, 130, WORK_MS) for i in range(SERVERS)
+            NodeSpec(f"suva-{i + 1}", "fiji", "slot-desk", SLOTS, 130, WORK_MS)
+            for i in range(SERVERS)
         ]
         await ready(fleet, places, "slot-desk")
         addresses = [node.callers for node in fleet.nodes]
@@ -90,7 +91,7 @@
                 sensitive_answered=round(len(times) / len(sensitive.outcomes), 4),
             )
         reports = [
-            await ask(n.backend.said["listening"], "POST", "/control/report")
+            await request_json(n.backend.bound_addresses["listening"], "POST", "/control/report")
             for n in fleet.nodes
             if n.backend is not None
         ]
--- a/features/steps/commit.py
+++ b/features/steps/commit.py
@@ -11,7 +11,7 @@
 from hornbeamgw.core.catalogue import Item, compute_digest
 from hornbeamgw.core.edit import Change, Delta, DeltaChange, Edit, Rejection
 from hornbeamgw.daemon.committer import Committed
-from hornbeamgw.testing.local import LocalFleet, edit_from_file, limit_edit, wait_for
+from hornbeamgw.testing.local import LocalFleet, edit_from_file, queue_limit_edit, wait_for
 from hornbeamgw.testing.memory import LOSE_ANSWER, LOSE_REQUEST
 
 EXAMPLE = Path("catalogue/vatuwaqa.yaml")
@@ -59,7 +59,7 @@
 @when('an operator edits "{key}"')
 def edit_one(context, key):
     first = context.fleet.daemons[0]
-    wanted = limit_edit(first, key, 33, "one")
+    wanted = queue_limit_edit(first, key, 33, "one")
     context.outcomes = [context.runner.run(first.committer.commit(wanted))]
     assert not context.fleet.platform.write_faults, "the fault did not happen"
 
@@ -67,7 +67,7 @@
 @when("an operator sends one edit twice by two daemons")
 def send_twice(context):
     async def send():
-        wanted = limit_edit(context.fleet.daemons[0], "entry/booking", 33, "one")
+        wanted = queue_limit_edit(context.fleet.daemons[0], "entry/booking", 33, "one")
         tasks = [daemon.committer.commit(wanted) for daemon in context.fleet.daemons]
         return await asyncio.gather(*tasks)
 
@@ -86,7 +86,9 @@
 
     async def send():
         pairs = zip(context.fleet.daemons, keys, strict=True)
-        wanted = [(d, limit_edit(d, key, 40 + i, f"e{i}")) for i, (d, key) in enumerate(pairs)]
+        wanted = [
+            (d, queue_limit_edit(d, key, 40 + i, f"e{i}")) for i, (d, key) in enumerate(pairs)
+        ]
         return await asyncio.gather(*(d.committer.commit(e) for d, e in wanted))
 
     context.outcomes = context.runner.run(send())
@@ -189,7 +191,7 @@
 def dead_committer(context):
     first = context.fleet.daemons[0]
     known = first.control.versions.catalogue
-    wanted = limit_edit(first, "entry/booking", 33, "one")
+    wanted = queue_limit_edit(first, "entry/booking", 33, "one")
     delta = edit.accept(known, wanted, 0).unwrap()
     row = context.fleet.platform.rows_by_key[commit.HEAD_KEY]
     plan = commit.plan(commit.decode_head(row.value), row.etag, delta, False)
@@ -206,7 +208,7 @@
     async def send():
         first = context.fleet.daemons[0]
         for number in range(count):
-            wanted = limit_edit(first, "entry/booking", 50 + number, f"many{number}")
+            wanted = queue_limit_edit(first, "entry/booking", 50 + number, f"many{number}")
             outcome = await first.committer.commit(wanted)
             assert outcome == Committed(number + 2), outcome
 
--- a/features/steps/era.py
+++ b/features/steps/era.py
@@ -17,7 +17,7 @@
 @when("the store comes back from that copy")
 def comes_back(context):
     async def come():
-        context.store.come_back(context.copy)
+        context.store.restore(context.copy)
 
     context.runner.run(come())
 
@@ -59,8 +59,8 @@
 @then("after {seconds:d} seconds no row was written")
 def none_written(context, seconds):
     context.runner.run(asyncio.sleep(seconds))
-    writes = context.store.calls_by_place["rows-tx", ""] - context.counted["rows-tx", ""]
-    assert writes == 0, context.store.calls_by_place
+    writes = context.store.calls_by_operation["rows-tx", ""] - context.counted["rows-tx", ""]
+    assert writes == 0, context.store.calls_by_operation
 
 
 @then("after {seconds:d} seconds version {number:d} still has the routes that it had")
--- a/features/steps/outside.py
+++ b/features/steps/outside.py
@@ -133,7 +133,7 @@
     async def forget():
         context.store.put("op", "config", version_of(number))
         context.store.put("other", "row", b"x")
-        context.store.forget_history()
+        context.store.truncate_feed()
 
     context.runner.run(forget())
 
@@ -158,7 +158,7 @@
 
 @given('the store answers with "{fault}" there')
 def faulty_there(context, fault):
-    context.store.fail_at(context.own_address, fault)
+    context.store.set_fault_at(context.own_address, fault)
 
 
 @given('the next write to the store is "{fault}"')
@@ -168,7 +168,7 @@
 
 @given("the store takes {rate:d} calls a second")
 def rate(context, rate):
-    context.store.calls_per_s = rate
+    context.store.rate_limit_per_s = rate
 
 
 @given("the row of each of them is in the store after {seconds:d} seconds")
@@ -176,7 +176,7 @@
 @then("the row of each of them is in the store after {seconds:d} seconds")
 def rows_there(context, seconds):
     context.runner.run(asyncio.sleep(seconds))
-    keys = {key for table, key in context.store.rows_by_place if table == TABLE}
+    keys = {key for table, key in context.store.rows_by_table_and_key if table == TABLE}
     assert keys >= {daemon.control.view.me.address for daemon in context.living}, keys
 
 
@@ -283,41 +283,41 @@
     assert len(pushers) == 2
     for daemon in pushers:
         if daemon in context.store_address_by_daemon:
-            context.store.fail_at(context.store_address_by_daemon[daemon], "outage")
+            context.store.set_fault_at(context.store_address_by_daemon[daemon], "outage")
     context.runner.run(write(context, version_of(number, routes=2)))
 
 
 def counted(context, what):
     """Return how often the store was asked so since the count began."""
-    return context.store.calls_by_place[what] - context.counted[what]
+    return context.store.calls_by_operation[what] - context.counted[what]
 
 
 @when("the calls to the store are counted")
 def count(context):
-    context.counted = context.store.calls_by_place.copy()
+    context.counted = context.store.calls_by_operation.copy()
 
 
 @then("after {seconds:d} second the store was asked once for the daemons and once for the version")
 def asked_little(context, seconds):
     context.runner.run(asyncio.sleep(seconds))
-    assert counted(context, ("rows-get", TABLE)) == 1, context.store.calls_by_place
-    assert counted(context, ("rows-get", "op")) == 1, context.store.calls_by_place
-    assert counted(context, ("rows-tx", "")) == 0, context.store.calls_by_place
+    assert counted(context, ("rows-get", TABLE)) == 1, context.store.calls_by_operation
+    assert counted(context, ("rows-get", "op")) == 1, context.store.calls_by_operation
+    assert counted(context, ("rows-tx", "")) == 0, context.store.calls_by_operation
 
 
 @then("after {seconds:d} seconds the row was watched {most:d} times at most")
 def watched_little(context, seconds, most):
     context.runner.run(asyncio.sleep(seconds))
-    assert 0 < counted(context, ("rows-feed", "op")) <= most, context.store.calls_by_place
+    assert 0 < counted(context, ("rows-feed", "op")) <= most, context.store.calls_by_operation
 
 
 @given("the store holds version {number:d}, and nine daemons start with it for the first time")
 def all_new(context, number):
     async def begin():
-        context.store.rows_by_place.clear()
+        context.store.rows_by_table_and_key.clear()
         context.store.put("op", "config", version_of(number))
         context.fresh = LocalFleet(f"{context.scenario.name} anew")
-        context.counted = context.store.calls_by_place.copy()
+        context.counted = context.store.calls_by_operation.copy()
         context.fleet, old = context.fresh, context.fleet
         await old.close()
         context.living = [await start_daemon(context, first_start=True) for _ in range(9)]
@@ -337,8 +337,8 @@
 
 @then("each of them has written its row once and read the daemons once")
 def asked_once(context):
-    assert counted(context, ("rows-tx", "")) == 9, context.store.calls_by_place
-    assert counted(context, ("rows-get", TABLE)) == 9, context.store.calls_by_place
+    assert counted(context, ("rows-tx", "")) == 9, context.store.calls_by_operation
+    assert counted(context, ("rows-get", TABLE)) == 9, context.store.calls_by_operation
 
 
 @given("the store holds rows of three daemons that are gone")
@@ -419,5 +419,5 @@
 
 @then("the rows of the others are left")
 def left(context):
-    keys = {key for table, key in context.store.rows_by_place if table == TABLE}
+    keys = {key for table, key in context.store.rows_by_table_and_key if table == TABLE}
     assert keys == {daemon.control.view.me.address for daemon in context.living}, keys
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -15,7 +15,7 @@
 
 from hornbeamgw.daemon import heads
 from hornbeamgw.daemon.http1 import HttpClient, header
-from hornbeamgw.testing.fleet import Fleet, Place, ask
+from hornbeamgw.testing.fleet import Fleet, NodeSpec, request_json
 from hornbeamgw.testing.local import edit_from_bodies
 
 LIMIT_S = 30.0
@@ -27,9 +27,11 @@
 
     async def start():
         await fleet.__aenter__()
-        places = [Place("suva-1", "fiji"), Place("suva-1", "fiji", "roster")]
+        places = [NodeSpec("suva-1", "fiji"), NodeSpec("suva-1", "fiji", "roster")]
         await fleet.start_nodes(places)
-        answer = await ask(fleet.nodes[0].admin, "POST", "/edits", edit_from_bodies(BODIES, "e"))
+        answer = await request_json(
+            fleet.nodes[0].admin, "POST", "/edits", edit_from_bodies(BODIES, "e")
+        )
         assert answer == {"version": 1}, answer
         assert await fleet.wait_in_force(1, LIMIT_S)
         await wait_until(fleet, lambda rows: any(r["service"] == "roster" for r in rows))
@@ -41,7 +43,9 @@
 async def wait_until(fleet, condition):
     """Wait until the first daemon's view of the members meets a condition."""
     async with asyncio.timeout(LIMIT_S):
-        while not condition((await ask(fleet.nodes[0].admin, "GET", "/status"))["members"]):
+        while not condition(
+            (await request_json(fleet.nodes[0].admin, "GET", "/status"))["members"]
+        ):
             await asyncio.sleep(0.05)
 
 
@@ -52,9 +56,9 @@
     headers = [(b"host", b"test.example"), (b"x-request-id", b"r1")]
     target = f"/rosters?work_ms={work_ms}&size=10"
     context.call = asyncio.ensure_future(client.request("GET", target, headers))
-    backend = nodes[1].backend.said["listening"]
+    backend = nodes[1].backend.bound_addresses["listening"]
     async with asyncio.timeout(LIMIT_S):
-        while not (await ask(backend, "GET", "/control/report"))["running"]:
+        while not (await request_json(backend, "GET", "/control/report"))["running"]:
             await asyncio.sleep(0.02)
 
 
@@ -122,7 +126,7 @@
         await asyncio.sleep(0.3)
         daemon.signal(signal.SIGTERM)
         context.code = await daemon.process.wait()
-        await daemon.copying
+        await daemon.log_task
         context.response = await context.call
 
     context.runner.run(stop())
--- a/features/steps/quarantine.py
+++ b/features/steps/quarantine.py
@@ -47,7 +47,7 @@
         daemons = [await context.fleet.start() for _ in range(count)]
         await daemons[0].committer.commit(edit_from_bodies(BODIES, "e"))
         for daemon in daemons:
-            await context.fleet.start_backend(daemon, "lookup", work=0.05, falls_under=FALLS)
+            await context.fleet.start_backend(daemon, "lookup", work=0.05, crash_body=FALLS)
         for daemon in daemons:
             await wait_for(lambda daemon=daemon: daemon.control.versions.snapshot.version == 1)
             await knows_all(daemon, count)
@@ -80,7 +80,7 @@
 
 
 def falls(context):
-    return sorted(at for backend in context.fleet.backends for at in backend.fallen_at)
+    return sorted(at for backend in context.fleet.backends for at in backend.crash_times)
 
 
 @when(
@@ -150,7 +150,7 @@
             await asyncio.sleep(pause / 1000)
             if ends < times and loop.time() >= next_end:
                 for backend in context.fleet.backends:
-                    backend.fall()
+                    backend.crash()
                 ends, next_end = ends + 1, loop.time() + 0.6
         context.sound = await asyncio.gather(*tasks)
 
--- a/features/steps/recovery.py
+++ b/features/steps/recovery.py
@@ -10,7 +10,7 @@
 from hornbeamgw.daemon import frames
 from hornbeamgw.daemon.committer import Committed
 from hornbeamgw.daemon.http1 import HttpClient, header
-from hornbeamgw.testing.local import LocalFleet, edit_from_bodies, limit_edit, wait_for
+from hornbeamgw.testing.local import LocalFleet, edit_from_bodies, queue_limit_edit, wait_for
 
 BODIES = {
     "entry/all": {"name": "all", "owner": "o", "traffic_class": "c", "limits": {"slots": 6}},
@@ -19,7 +19,7 @@
 
 async def change(fleet, daemon, number):
     """Accept one more version by a daemon."""
-    wanted = limit_edit(daemon, "entry/all", number, f"change-{number}")
+    wanted = queue_limit_edit(daemon, "entry/all", number, f"change-{number}")
     outcome = await daemon.committer.commit(wanted)
     assert isinstance(outcome, Committed), outcome
     return outcome.version
--- a/features/steps/rollouts_live.py
+++ b/features/steps/rollouts_live.py
@@ -36,7 +36,7 @@
 
 LOOKUPS = Load(CALLERS, "safe", 2000, 500, {})
 # Long ones take less than three times as long as others, so that they are not taken for slow.
-BOOKING_SERVERS = {"work": 0.35, "slow_share": 0.1, "slow_times": 2.8, "slots": 40}
+BOOKING_SERVERS = {"work": 0.35, "slow_ratio": 0.1, "slow_factor": 2.8, "slots": 40}
 BOOKINGS = Load(60, "unsafe", 3000, 1500, BOOKING_SERVERS)
 
 
@@ -146,7 +146,7 @@
 
 def status(context):
     """Return what the operator reads, "" where there is nothing."""
-    row = context.store.rows_by_place.get(("status", ORDER_KEY))
+    row = context.store.rows_by_table_and_key.get(("status", ORDER_KEY))
     if row is None:
         return ""
 
@@ -190,7 +190,7 @@
 
 @when('the operator orders version "{target}" within {seconds:d} seconds, and bad servers of it start alongside')  # fmt: skip  # noqa: E501
 def order_bad(context, target, seconds):
-    context.runner.run(order(context, target, seconds, failing_share=0.5))
+    context.runner.run(order(context, target, seconds, failure_ratio=0.5))
 
 
 @when('the operator orders version "{target}" within {seconds:d} seconds')
@@ -281,7 +281,7 @@
     context.living[index] = await start_daemon(context, address)
     for at, server in context.servers:
         if at == index:
-            server.move_to(announcements_of(context, context.living[index]))
+            server.announce_to(announcements_of(context, context.living[index]))
 
 
 @when('all daemons restart as soon as the operator reads "{state}"')
@@ -317,7 +317,7 @@
 def back_when(context, state):
     async def come():
         await until(context, state, 5)
-        context.store.come_back(context.copy)
+        context.store.restore(context.copy)
 
     context.runner.run(come())
 
--- a/features/steps/table_service.py
+++ b/features/steps/table_service.py
@@ -8,7 +8,7 @@
 
 from hornbeamgw.backends import PlatformError, factories_by_name
 from hornbeamgw.core.table import Condition, Write
-from hornbeamgw.testing.fleet import ask
+from hornbeamgw.testing.fleet import request_json
 from hornbeamgw.testing.local import LocalFleet, wait_for
 from hornbeamgw.testing.platform import StandInPlatform
 
@@ -70,7 +70,7 @@
 
 
 def fault(context, **document):
-    return context.runner.run(ask(context.address, "POST", "/control", document))
+    return context.runner.run(request_json(context.address, "POST", "/control", document))
 
 
 @given('the stand-in has the fault "{kind}" for the next {count:d} requests')
--- a/hornbeamgw/testing/command.py
+++ b/hornbeamgw/testing/command.py
@@ -19,57 +19,61 @@
     loop.run(main)
 
 
-def _say(document: dict[str, Any]) -> None:
+def _print_json(document: dict[str, Any]) -> None:
     print(msgspec.json.encode(document).decode(), flush=True)
 
 
 def _stop_event() -> asyncio.Event:
-    stop = asyncio.Event()
+    stop_event = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    return stop
+        asyncio.get_running_loop().add_signal_handler(number, stop_event.set)
+    return stop_event
 
 
-@cappa.command(name="platform", help="Serve a table service and an object store from memory.")
+@cappa.command(name="platform", help="Run an in-memory table service and object store.")
 @dataclass
 class PlatformCommand:
-    """Run the stand-in platform until told to stop."""
+    """Run the stand-in platform until SIGTERM or SIGINT."""
 
-    listen: Annotated[str, cappa.Arg(long=True, help="IP number and port")] = "127.0.0.1:0"
+    listen: Annotated[str, cappa.Arg(long=True, help="IP address and port to listen on")] = (
+        "127.0.0.1:0"
+    )
 
     def __call__(self) -> None:
-        """Run it."""
+        """Run the stand-in until it is stopped."""
         _run(self._serve())
 
     async def _serve(self) -> None:
         from hornbeamgw.testing.platform import StandInPlatform
 
-        stop = _stop_event()
-        _say({"listening": await StandInPlatform().start(self.listen)})
-        await stop.wait()
+        stop_event = _stop_event()
+        _print_json({"listening": await StandInPlatform().start(self.listen)})
+        await stop_event.wait()
 
 
-@cappa.command(name="backend", help="Serve requests as a backend server beside a daemon.")
+@cappa.command(name="backend", help="Run a backend server that announces itself to a daemon.")
 @dataclass
 class BackendCommand:
-    """Run the stand-in backend server; it drains when told to stop."""
-
-    daemon: Annotated[str, cappa.Arg(long=True, help="the daemon's admin address")]
-    service: Annotated[str, cappa.Arg(long=True, help="the service it announces")]
-    slots: Annotated[int, cappa.Arg(long=True, help="requests at once")] = 6
-    connections: Annotated[int, cappa.Arg(long=True, help="connections at once")] = 130
-    work_ms: Annotated[float, cappa.Arg(long=True, help="time a request takes (ms)")] = 2.0
-    cold_start_ms: Annotated[float, cappa.Arg(long=True, help="time to warm up (ms)")] = 0.0
-    announced: Annotated[str, cappa.Arg(long=True, help="address to announce, if not its own")] = ""
+    """Run the stand-in backend server; it drains on SIGTERM or SIGINT."""
+
+    daemon: Annotated[str, cappa.Arg(long=True, help="admin address of the daemon")]
+    service: Annotated[str, cappa.Arg(long=True, help="service to announce")]
+    slots: Annotated[int, cappa.Arg(long=True, help="maximum number of concurrent requests")] = 6
+    connections: Annotated[int, cappa.Arg(long=True, help="maximum number of connections")] = 130
+    work_ms: Annotated[float, cappa.Arg(long=True, help="processing time of a request in ms")] = 2.0
+    cold_start_ms: Annotated[float, cappa.Arg(long=True, help="warm-up time in ms")] = 0.0
+    announced: Annotated[
+        str, cappa.Arg(long=True, help="address to announce instead of its own")
+    ] = ""
 
     def __call__(self) -> None:
-        """Run it."""
+        """Run the stand-in until it is stopped."""
         _run(self._serve())
 
     async def _serve(self) -> None:
         from hornbeamgw.testing.backend import BackendOptions, StandInBackend
 
-        stop = _stop_event()
+        stop_event = _stop_event()
         options = BackendOptions(
             self.service,
             self.slots,
@@ -80,15 +84,15 @@
             self.announced,
         )
         backend = StandInBackend(options)
-        _say({"listening": await backend.start()})
-        await stop.wait()
+        _print_json({"listening": await backend.start()})
+        await stop_event.wait()
         await backend.drain()
 
 
-@cappa.command(name="hornbeamgw-standin", help="Stand-ins to try hornbeamgw with.")
+@cappa.command(name="hornbeamgw-standin", help="Stand-ins for trying out hornbeamgw.")
 @dataclass
 class StandIn:
-    """Choose a stand-in."""
+    """Run a stand-in."""
 
     command: cappa.Subcommands[PlatformCommand | BackendCommand]
 
--- a/hornbeamgw/testing/demo.py
+++ b/hornbeamgw/testing/demo.py
@@ -1,4 +1,7 @@
-"""Demo: both adopters' fleets on loopback, changed and hurt while callers call."""
+"""Demo: both adopters' fleets on loopback, with changes and faults under steady load.
+
+The result is printed as one line of JSON on standard output, progress on standard error.
+"""
 
 from __future__ import annotations
 
@@ -16,41 +19,44 @@
 from hornbeamgw.core.catalogue import ParsedFile, parse_file
 from hornbeamgw.core.edit import EMPTY_CATALOGUE, Change, Edit, requested_changes
 from hornbeamgw.daemon.http1 import HttpClient
-from hornbeamgw.testing.fleet import Fleet, Node, Place, ask
+from hornbeamgw.testing.fleet import Fleet, Node, NodeSpec, request_json
 from hornbeamgw.testing.load import KINDS, Load, audit, call
 from hornbeamgw.testing.stats import percentile
 
 CATALOGUES = ("catalogue/vatuwaqa.yaml", "catalogue/kijani.yaml")
-CHANGES = 10
-WORKERS = 12
-PAUSE_S = 0.08
-CONTROL_KINDS = ("push", "have", "pull")
+CHANGE_COUNT = 10
+CALLER_COUNT = 12
+CALL_PAUSE_S = 0.08
+CONTROL_MESSAGE_KINDS = ("push", "have", "pull")
 PROBE_KIND = KINDS[0]
 PROBE_PAUSE_S = 0.01
-SAMPLE_EVERY_S = 0.25
-LIMIT_S = 12.0
-SLOW_MS = 200.0
-ZEROES = ("lost", "doubled", "cut_off", "reverts", "dangling_routes")
+SAMPLE_INTERVAL_S = 0.25
+CONVERGENCE_TIMEOUT_S = 12.0
+SLOW_CONVERGENCE_MS = 200.0
+KEYS_EXPECTED_ZERO = ("lost", "doubled", "cut_off", "reverts", "dangling_routes")
 
 
-def places() -> list[Place]:
-    """Return where the backend servers of both adopters run, at the sizes of today."""
+def node_specs() -> list[NodeSpec]:
+    """Return the specs of both adopters' nodes, one for each backend server."""
     vatuwaqa = [("slot-desk", 5), ("booking-payment", 3), ("roster", 3)]
     kijani = [("planner", 4), ("reservation", 4), ("fixtures", 4)]
-    found = []
+    specs = []
     for service, count in vatuwaqa:
-        found += [Place(f"suva-{i % 3 + 1}", "fiji", service, 6, 130) for i in range(count)]
+        specs += [NodeSpec(f"suva-{i % 3 + 1}", "fiji", service, 6, 130) for i in range(count)]
     for service, count in kijani:
-        found += [Place(f"dar-{i % 4 + 1}", "tanzania", service, 12, 110) for i in range(count)]
-    return found
+        specs += [NodeSpec(f"dar-{i % 4 + 1}", "tanzania", service, 12, 110) for i in range(count)]
+    return specs
 
 
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(f"[{time.strftime('%H:%M:%S')}] {text}", file=sys.stderr, flush=True)
 
 
 def example_edit(number: int) -> Edit:
-    """Return the edit that creates the whole example catalogue."""
+    """Return the edit that creates the whole example catalogue.
+
+    The number distinguishes the edit ids of several runs.
+    """
     bodies: dict[str, dict[str, Any]] = {}
     for path in CATALOGUES:
         parsed, problems = parse_file(Path(path).read_text(encoding="utf-8"), path)
@@ -61,57 +67,63 @@
 
 
 class Demo:
-    """Hold the fleet, the load and what was observed."""
+    """A fleet under load, the events of the demo and the measurements taken meanwhile."""
 
     def __init__(self, fleet: Fleet, rng: random.Random) -> None:
-        """Take a fleet whose platform runs."""
+        """Use a fleet whose platform is running."""
         self.fleet = fleet
         self.rng = rng
         self.load = Load(self._callers, rng)
         self.convergence_ms: list[float] = []
         self.reverts = 0
-        self.dangling = 0
+        self.dangling_routes = 0
         self.cut_off = 0
         self.direct_ms: list[float] = []
-        self.through_ms: list[float] = []
-        self._in_force: dict[str, int] = {}
+        self.proxied_ms: list[float] = []
+        self._in_force_by_address: dict[str, int] = {}
         self._stopping = False
         self._reports: list[dict[str, Any]] = []
-        self.down: set[str] = set()
+        self.down_addresses: set[str] = set()
 
     def _callers(self) -> list[str]:
-        nodes = [n for n in self.fleet.nodes if n.daemon.alive and n.address not in self.down]
+        nodes = [
+            n for n in self.fleet.nodes if n.daemon.alive and n.address not in self.down_addresses
+        ]
         return [node.callers for node in nodes]
 
     async def edit(self, edit: Edit, at: Node) -> int:
-        """Send an edit to one daemon and return the version that it became."""
-        answer = await ask(at.admin, "POST", "/edits", edit)
+        """Submit an edit to one daemon and return the version that it created."""
+        answer = await request_json(at.admin, "POST", "/edits", edit)
         if "version" not in answer:
-            raise RuntimeError(f"edit refused: {answer}")
+            raise RuntimeError(f"edit rejected: {answer}")
         return int(answer["version"])
 
-    async def change(self, number: int) -> None:
-        """Change one limit by a random daemon, and time it until it is in force everywhere."""
+    async def change_queue_limit(self, number: int) -> None:
+        """Change one queue limit through a random daemon and measure its convergence time."""
         node = self.rng.choice([n for n in self.fleet.nodes if n.daemon.alive])
-        catalogue = await ask(node.admin, "GET", "/catalogue")
+        catalogue = await request_json(node.admin, "GET", "/catalogue")
         key = self.rng.choice(sorted(k for k in catalogue["items"] if k.startswith("entry/")))
         revision, body = catalogue["items"][key]
         body["limits"]["queue"] = 20 + number
         change = Change(key=key, based_on=revision, body=body)
         edit = Edit(edit_id=f"demo-{number}", author="demo", changes=[change])
         version = await self.edit(edit, node)
-        if not await self.fleet.wait_in_force(version, LIMIT_S):
-            raise RuntimeError(f"version {version} is not in force everywhere in {LIMIT_S} s")
-        took = await convergence_ms(self.fleet, version)
-        self.convergence_ms.append(took)
-        if took > SLOW_MS:
-            await _explain_slow(self.fleet, version)
-        _say(f"change {number}: version {version} of {key} in force everywhere in {took:.0f} ms")
-
-    async def bad_change(self) -> None:
-        """Try to add a route to a service that is not there; it must be refused whole."""
+        if not await self.fleet.wait_in_force(version, CONVERGENCE_TIMEOUT_S):
+            raise RuntimeError(
+                f"version {version} did not reach all daemons within {CONVERGENCE_TIMEOUT_S} s"
+            )
+        elapsed_ms = await convergence_ms(self.fleet, version)
+        self.convergence_ms.append(elapsed_ms)
+        if elapsed_ms > SLOW_CONVERGENCE_MS:
+            await _print_slowest(self.fleet, version)
+        _print_progress(
+            f"change {number}: version {version} of {key} on all daemons in {elapsed_ms:.0f} ms"
+        )
+
+    async def try_invalid_change(self) -> None:
+        """Submit a route to a missing service and check that the edit is rejected."""
         node = self.fleet.nodes[0]
-        before = (await ask(node.admin, "GET", "/version"))["in_force"]
+        before = (await request_json(node.admin, "GET", "/version"))["in_force"]
         body = {
             "name": "nowhere",
             "host": "x.example",
@@ -124,143 +136,153 @@
         }
         changes = [Change(key="route/nowhere", based_on=0, body=body)]
         edit = Edit(edit_id="demo-bad", author="demo", changes=changes)
-        answer = await ask(node.admin, "POST", "/edits", edit)
-        after = (await ask(node.admin, "GET", "/version"))["in_force"]
+        answer = await request_json(node.admin, "POST", "/edits", edit)
+        after = (await request_json(node.admin, "GET", "/version"))["in_force"]
         if not answer.get("problems") or after != before:
-            raise RuntimeError(f"the bad change was not refused: {answer}")
-        _say(f"bad change refused: {answer['problems'][0]['key']}")
+            raise RuntimeError(f"invalid change was not rejected: {answer}")
+        _print_progress(f"invalid change rejected: {answer['problems'][0]['key']}")
 
     async def drain_backend(self) -> None:
-        """Stop one backend server as planned; nothing in flight may be cut off."""
-        node = next(n for n in self.fleet.nodes if n.place.service == "planner")
+        """Drain and stop one backend server, and count the requests that were cut off."""
+        node = next(n for n in self.fleet.nodes if n.spec.service == "planner")
         assert node.backend is not None
-        address = node.backend.said["listening"]
-        report = await ask(address, "POST", "/control/drain", {})
+        address = node.backend.bound_addresses["listening"]
+        report = await request_json(address, "POST", "/control/drain", {})
         await asyncio.sleep(1.0)
-        report = await ask(address, "POST", "/control/report", {})
+        report = await request_json(address, "POST", "/control/report", {})
         self.cut_off += len(report["broken"]) + report["running"]
         late = len(report["after_drain"])
         self._reports.append(report)
         await node.backend.stop()
-        _say(f"drained {address}: {len(report['broken'])} cut off, {late} new requests after it")
+        _print_progress(
+            f"drained {address}: {len(report['broken'])} cut off, {late} requests after the drain"
+        )
 
     async def stop_daemon(self) -> None:
-        """Stop one daemon as planned, with its backend server behind it."""
-        node = next(n for n in self.fleet.nodes if n.place.service == "slot-desk")
+        """Stop one daemon gracefully, then its backend server, and count the calls cut off."""
+        node = next(n for n in self.fleet.nodes if n.spec.service == "slot-desk")
         assert node.backend is not None
-        before = self._broken_by(node)
+        before = self._broken_call_count(node)
         code = await node.daemon.stop()
-        report = await ask(node.backend.said["listening"], "POST", "/control/report", {})
-        broken = len(report["broken"]) + self._broken_by(node) - before
+        report = await request_json(
+            node.backend.bound_addresses["listening"], "POST", "/control/report", {}
+        )
+        broken = len(report["broken"]) + self._broken_call_count(node) - before
         self.cut_off += broken + (code != 0)
         self._reports.append(report)
         await node.backend.stop()
-        _say(f"stopped daemon {node.address}: exit code {code}, {broken} cut off")
+        _print_progress(f"stopped daemon {node.address}: exit code {code}, {broken} cut off")
 
-    def _broken_by(self, node: Node) -> int:
+    def _broken_call_count(self, node: Node) -> int:
         return sum(o.reason.startswith("broken") for o in self.load.outcomes)
 
     async def kill_and_restart(self) -> None:
-        """Kill a daemon outright and start it again with nothing."""
-        node = next(n for n in self.fleet.nodes if n.place.service == "roster")
-        self.down.add(node.address)
+        """Kill a daemon with SIGKILL and restart it without any state."""
+        node = next(n for n in self.fleet.nodes if n.spec.service == "roster")
+        self.down_addresses.add(node.address)
         node.daemon.signal(signal.SIGKILL)
         await node.daemon.process.wait()
-        _say(f"killed daemon {node.address}")
+        _print_progress(f"killed daemon {node.address}")
         await asyncio.sleep(1.0)
         await self.fleet.restart_daemon(node)
         version = max(row["in_force"] for row in await self.fleet.versions())
-        if not await self.fleet.wait_in_force(version, LIMIT_S):
-            raise RuntimeError("the restarted daemon does not catch up")
-        self.down.discard(node.address)
-        _say(f"restarted daemon {node.address}: version {version} in force")
+        if not await self.fleet.wait_in_force(version, CONVERGENCE_TIMEOUT_S):
+            raise RuntimeError("restarted daemon did not catch up with the version in force")
+        self.down_addresses.discard(node.address)
+        _print_progress(f"restarted daemon {node.address}: version {version} in force")
 
-    async def watch(self) -> None:
-        """Look for daemons that go back to an older version."""
+    async def watch_versions(self) -> None:
+        """Count how often a daemon reverts to an older version."""
         while not self._stopping:
             alive = [n for n in self.fleet.nodes if n.daemon.alive]
-            asked = [ask(n.admin, "GET", "/version") for n in alive]
-            for row in await asyncio.gather(*asked, return_exceptions=True):
+            requests = [request_json(n.admin, "GET", "/version") for n in alive]
+            for row in await asyncio.gather(*requests, return_exceptions=True):
                 if isinstance(row, dict) and row["ready"]:
-                    held = self._in_force.get(row["address"], 0)
-                    self.reverts += row["in_force"] < held
-                    self._in_force[row["address"]] = max(held, row["in_force"])
-            await asyncio.sleep(SAMPLE_EVERY_S)
+                    highest = self._in_force_by_address.get(row["address"], 0)
+                    self.reverts += row["in_force"] < highest
+                    self._in_force_by_address[row["address"]] = max(highest, row["in_force"])
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    async def probe_added(self) -> None:
-        """Time a call straight to a backend server and through two daemons, in turn."""
+    async def probe_added_latency(self) -> None:
+        """Measure calls made directly to a backend server and through two daemons, alternately."""
         node = self.fleet.nodes[0]
-        target = next(n for n in self.fleet.nodes[1:] if n.place.service == "slot-desk")
+        target = next(n for n in self.fleet.nodes[1:] if n.spec.service == "slot-desk")
         assert target.backend is not None
-        direct = HttpClient(target.backend.said["listening"], 5.0)
-        through = HttpClient(self.fleet.nodes[5].callers, 5.0)
+        direct_client = HttpClient(target.backend.bound_addresses["listening"], 5.0)
+        proxied_client = HttpClient(self.fleet.nodes[5].callers, 5.0)
         del node
         number = 0
         while not self._stopping:
             number += 1
-            for client, times in ((direct, self.direct_ms), (through, self.through_ms)):
+            for client, latencies_ms in (
+                (direct_client, self.direct_ms),
+                (proxied_client, self.proxied_ms),
+            ):
                 outcome = await call(client, PROBE_KIND, f"probe{number}")
                 if outcome.verdict == "answered":
-                    times.append(outcome.elapsed * 1000)
+                    latencies_ms.append(outcome.elapsed * 1000)
                 await asyncio.sleep(PROBE_PAUSE_S)
 
     def stop(self) -> None:
-        """End watching and probing."""
+        """Stop watching versions and probing latency."""
         self._stopping = True
 
     async def reports(self) -> list[dict[str, Any]]:
-        """Return the record of every backend server, also of those that stopped."""
+        """Return the reports of all backend servers, including those that have stopped."""
         alive = [n.backend for n in self.fleet.nodes if n.backend and n.backend.alive]
-        asked = [ask(b.said["listening"], "POST", "/control/report", {}) for b in alive]
-        return self._reports + list(await asyncio.gather(*asked))
+        requests = [
+            request_json(b.bound_addresses["listening"], "POST", "/control/report", {})
+            for b in alive
+        ]
+        return self._reports + list(await asyncio.gather(*requests))
 
 
 async def convergence_ms(fleet: Fleet, version: int) -> float:
-    """Return the time from an edit's acceptance until the last living daemon applied it."""
+    """Return the time in ms from an edit's acceptance until all running daemons applied it."""
     alive = [n for n in fleet.nodes if n.daemon.alive]
     rows = await asyncio.gather(
-        *(ask(n.admin, "GET", f"/timeline?version={version}") for n in alive)
+        *(request_json(n.admin, "GET", f"/timeline?version={version}") for n in alive)
     )
     accepted = min(row["accepted_at"] for row in rows if row["accepted_at"])
     applied = [row["in_force_at"] for row in rows if row["in_force_at"]]
     return float(max(applied) - accepted) * 1000
 
 
-async def _explain_slow(fleet: Fleet, version: int) -> None:
+async def _print_slowest(fleet: Fleet, version: int) -> None:
     alive = [n for n in fleet.nodes if n.daemon.alive]
     rows = await asyncio.gather(
-        *(ask(n.admin, "GET", f"/timeline?version={version}") for n in alive)
+        *(request_json(n.admin, "GET", f"/timeline?version={version}") for n in alive)
     )
     last = max(rows, key=lambda row: row["in_force_at"] or 0.0)
-    _say(f"slowest: {last}")
+    _print_progress(f"timeline of the last daemon to apply the version: {last}")
 
 
 async def control_bytes(fleet: Fleet) -> dict[str, int]:
-    """Return the control bytes that each living daemon received for versions so far."""
+    """Return the bytes of version messages that each running daemon has received, by address."""
     alive = [n for n in fleet.nodes if n.daemon.alive]
-    rows = await asyncio.gather(*(ask(n.admin, "GET", "/counters") for n in alive))
+    rows = await asyncio.gather(*(request_json(n.admin, "GET", "/counters") for n in alive))
     return {
-        node.address: sum(row["bytes_in"].get(kind, 0) for kind in CONTROL_KINDS)
+        node.address: sum(row["bytes_in"].get(kind, 0) for kind in CONTROL_MESSAGE_KINDS)
         for node, row in zip(alive, rows, strict=True)
     }
 
 
-async def _events(demo: Demo) -> float:
+async def _run_events(demo: Demo) -> float:
     before = await control_bytes(demo.fleet)
     for number in range(1, 5):
-        await demo.change(number)
+        await demo.change_queue_limit(number)
         await asyncio.sleep(0.5)
-    await demo.bad_change()
+    await demo.try_invalid_change()
     after = await control_bytes(demo.fleet)
     per_change = sum(after[a] - before[a] for a in before) / len(before) / 4
     await demo.drain_backend()
     for number in range(5, 8):
-        await demo.change(number)
+        await demo.change_queue_limit(number)
         await asyncio.sleep(0.5)
     await demo.kill_and_restart()
     await demo.stop_daemon()
-    for number in range(8, CHANGES + 1):
-        await demo.change(number)
+    for number in range(8, CHANGE_COUNT + 1):
+        await demo.change_queue_limit(number)
         await asyncio.sleep(0.5)
     return per_change
 
@@ -268,20 +290,25 @@
 async def _run(seed: int) -> dict[str, Any]:
     rng = random.Random(seed)
     async with Fleet("demo") as fleet:
-        wanted = places()
-        _say(f"starting {len(wanted)} daemons, each with a backend server, in 7 data centres")
-        await fleet.start_nodes(wanted)
+        specs = node_specs()
+        _print_progress(
+            f"starting {len(specs)} daemons, each with a backend server, in 7 data centres"
+        )
+        await fleet.start_nodes(specs)
         demo = Demo(fleet, rng)
         version = await demo.edit(example_edit(0), fleet.nodes[0])
-        if not await fleet.wait_in_force(version, LIMIT_S):
-            raise RuntimeError("the example catalogue is not in force everywhere")
-        if not await fleet.wait_members(LIMIT_S):
-            raise RuntimeError("not every daemon sees all the others")
-        _say("example catalogue in force; callers start")
-        demo.load.start(WORKERS, PAUSE_S)
-        watchers = [asyncio.create_task(demo.watch()), asyncio.create_task(demo.probe_added())]
-        per_change = await _events(demo)
-        _say("callers stop")
+        if not await fleet.wait_in_force(version, CONVERGENCE_TIMEOUT_S):
+            raise RuntimeError("example catalogue did not reach all daemons")
+        if not await fleet.wait_members(CONVERGENCE_TIMEOUT_S):
+            raise RuntimeError("some daemons do not see all members")
+        _print_progress("example catalogue in force; starting the load")
+        demo.load.start(CALLER_COUNT, CALL_PAUSE_S)
+        watchers = [
+            asyncio.create_task(demo.watch_versions()),
+            asyncio.create_task(demo.probe_added_latency()),
+        ]
+        per_change = await _run_events(demo)
+        _print_progress("stopping the load")
         await demo.load.stop()
         demo.stop()
         await asyncio.gather(*watchers)
@@ -290,24 +317,26 @@
 
 async def _result(demo: Demo, per_change: float) -> dict[str, Any]:
     alive = [n for n in demo.fleet.nodes if n.daemon.alive]
-    counters = await asyncio.gather(*(ask(n.admin, "GET", "/counters") for n in alive))
+    counters = await asyncio.gather(*(request_json(n.admin, "GET", "/counters") for n in alive))
     violations: Counter[str] = Counter()
     for row in counters:
         violations.update(row["invariants"])
     dangling = sum(row["dangling_routes"] for row in counters)
-    counted = audit(demo.load.outcomes, await demo.reports())
-    added = [t - d for t, d in zip(demo.through_ms, demo.direct_ms, strict=False)]
+    call_audit = audit(demo.load.outcomes, await demo.reports())
+    added = [t - d for t, d in zip(demo.proxied_ms, demo.direct_ms, strict=False)]
     reasons = Counter(o.reason for o in demo.load.outcomes if o.reason)
-    _say(f"reasons of calls without an answer: {dict(reasons)}; violations: {dict(violations)}")
-    times = demo.convergence_ms
+    _print_progress(
+        f"failed calls by reason: {dict(reasons)}; invariant violations: {dict(violations)}"
+    )
+    latencies_ms = demo.convergence_ms
     return {
-        **counted._asdict(),
+        **call_audit._asdict(),
         "cut_off": demo.cut_off,
-        "changes": len(times),
+        "changes": len(latencies_ms),
         "convergence_ms": {
-            "p50": round(percentile(times, 50), 1),
-            "p99": round(percentile(times, 99), 1),
-            "max": round(max(times), 1),
+            "p50": round(percentile(latencies_ms, 50), 1),
+            "p99": round(percentile(latencies_ms, 99), 1),
+            "max": round(max(latencies_ms), 1),
         },
         "control_bytes_per_change_per_daemon": round(per_change, 1),
         "added_ms": {
@@ -322,12 +351,15 @@
 
 
 def main() -> None:
-    """Run the demo; the last line on standard output is its result."""
+    """Run the demo and print its result as the last line on standard output.
+
+    Exits with status 1 if a check failed.
+    """
     result = asyncio.run(_run(seed=1))
     print(msgspec.json.encode(result).decode())
-    wrong = {key: result[key] for key in (*ZEROES, "violations") if result[key]}
-    if wrong or result["changes"] != CHANGES:
-        _say(f"failed: {wrong}")
+    nonzero = {key: result[key] for key in (*KEYS_EXPECTED_ZERO, "violations") if result[key]}
+    if nonzero or result["changes"] != CHANGE_COUNT:
+        _print_progress(f"demo failed; expected zero: {nonzero}")
         sys.exit(1)
 
 
--- a/hornbeamgw/testing/fleet.py
+++ b/hornbeamgw/testing/fleet.py
@@ -1,4 +1,4 @@
-"""Fleet: real daemons, backend servers and a platform as processes on loopback."""
+"""Fleet: runs daemons, backend servers and a stand-in platform as processes on loopback."""
 
 from __future__ import annotations
 
@@ -19,11 +19,14 @@
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 15.0
 REQUEST_TIMEOUT_S = 30.0
-SEEDS = 5
+MAX_SEEDS_PER_GROUP = 5
 
 
-class Place(NamedTuple):
-    """Say where a daemon runs and what is beside it; no service means no backend server."""
+class NodeSpec(NamedTuple):
+    """The location of a node and the parameters of its backend server.
+
+    Without a service, the node runs a daemon only.
+    """
 
     data_centre: str
     region: str
@@ -33,33 +36,33 @@
     work_ms: float = 2.0
 
 
-class Child:
-    """Hold one process and what it said when it was ready."""
+class ChildProcess:
+    """A child process and the addresses that it printed when it was ready."""
 
     def __init__(self, process: asyncio.subprocess.Process, log_path: Path) -> None:
-        """Take the process and the file of its log."""
+        """Use a started process and the path of its log file."""
         self.process = process
         self.log_path = log_path
-        self.copying: asyncio.Task[None] | None = None
+        self.log_task: asyncio.Task[None] | None = None
         self.settings_path: Path | None = None
-        self.said: dict[str, Any] = {}
+        self.bound_addresses: dict[str, Any] = {}
 
     @property
     def alive(self) -> bool:
-        """Return whether the process runs."""
+        """Return whether the process is running."""
         return self.process.returncode is None
 
     def signal(self, number: int) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal if the process is running."""
         if self.alive:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
-    async def stop(self, limit: float = STOP_TIMEOUT_S) -> int:
-        """Ask the process to stop, kill it after a limit (s), and return its exit code."""
+    async def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
+        """Send SIGTERM, kill the process after a timeout in seconds, and return its exit code."""
         self.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(timeout_s):
                 return await self.process.wait()
         except TimeoutError:
             self.signal(signal.SIGKILL)
@@ -67,32 +70,35 @@
 
 
 class Node:
-    """Hold a daemon and the backend server beside it."""
+    """A daemon and the backend server on the same VM."""
 
-    def __init__(self, place: Place, daemon: Child, backend: Child | None) -> None:
-        """Take the processes of one VM."""
-        self.place = place
+    def __init__(self, spec: NodeSpec, daemon: ChildProcess, backend: ChildProcess | None) -> None:
+        """Use the started processes of one VM."""
+        self.spec = spec
         self.daemon = daemon
         self.backend = backend
 
     @property
     def callers(self) -> str:
-        """Return the address that callers use."""
-        return str(self.daemon.said["callers"])
+        """Return the address for callers."""
+        return str(self.daemon.bound_addresses["callers"])
 
     @property
     def admin(self) -> str:
-        """Return the address that operators use."""
-        return str(self.daemon.said["admin"])
+        """Return the address of the admin API."""
+        return str(self.daemon.bound_addresses["admin"])
 
     @property
     def address(self) -> str:
-        """Return the address that other daemons use."""
-        return str(self.daemon.said["address"])
+        """Return the address for other daemons."""
+        return str(self.daemon.bound_addresses["address"])
+
 
+async def request_json(address: str, method: str, target: str, document: object = None) -> Any:
+    """Send an HTTP request and return the decoded JSON response.
 
-async def ask(address: str, method: str, target: str, document: object = None) -> Any:
-    """Ask an HTTP server for JSON; raise OSError, TimeoutError or ConnectionLost."""
+    Raises OSError, TimeoutError or ConnectionLost.
+    """
     client = HttpClient(address, REQUEST_TIMEOUT_S)
     body = b"" if document is None else msgspec.json.encode(document)
     try:
@@ -102,8 +108,8 @@
     return msgspec.json.decode(response.body)
 
 
-async def _copy_log(child: Child) -> None:
-    """Keep what a process writes on standard output after its first line, to its end."""
+async def _copy_log(child: ChildProcess) -> None:
+    """Append the remaining standard output of a process to its log file."""
     assert child.process.stdout is not None
     with child.log_path.open("ab") as log_file:
         while line := await child.process.stdout.readline():
@@ -112,30 +118,30 @@
 
 
 class Fleet:
-    """Own the processes of a fleet; use as an asynchronous context."""
+    """The processes of a fleet, as an asynchronous context manager."""
 
     def __init__(self, name: str, overrides: dict[str, Any] | None = None) -> None:
-        """Take a fleet name and settings that differ from the usual."""
+        """Set the fleet name and the settings that override the defaults of all daemons."""
         self.name = name
         self.nodes: list[Node] = []
-        self.platform: Child | None = None
+        self.platform: ChildProcess | None = None
         self._overrides = overrides or {}
         self._folder = tempfile.TemporaryDirectory(prefix="hornbeamgw-")
-        self._started = 0
-        self._others: list[Child] = []
+        self._started_count = 0
+        self._other_processes: list[ChildProcess] = []
 
     async def __aenter__(self) -> Fleet:
-        """Start the platform."""
+        """Start the stand-in platform."""
         command = ["hornbeamgw.testing.command", "platform"]
         self.platform = await self._spawn("platform", command)
-        self.platform.said = await self._first_line(self.platform, "listening")
+        self.platform.bound_addresses = await self._first_line(self.platform, "listening")
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        """Stop everything."""
+        """Kill all processes and delete the folder."""
         children = [node.daemon for node in self.nodes]
         children += [node.backend for node in self.nodes if node.backend is not None]
-        children += self._others
+        children += self._other_processes
         children += [self.platform] if self.platform is not None else []
         for child in children:
             child.signal(signal.SIGCONT)
@@ -145,136 +151,149 @@
 
     @property
     def folder(self) -> str:
-        """Return the folder of settings and logs, which goes with the fleet."""
+        """Return the temporary folder of settings and logs."""
         return self._folder.name
 
     @property
     def platform_address(self) -> str:
-        """Return the address of the platform."""
+        """Return the address of the stand-in platform."""
         assert self.platform is not None
-        return str(self.platform.said["listening"])
+        return str(self.platform.bound_addresses["listening"])
 
-    async def _spawn(self, name: str, module: Sequence[str]) -> Child:
-        self._started += 1
-        log_path = Path(self._folder.name) / f"{self._started:04d}-{name}.log"
+    async def _spawn(self, name: str, module_args: Sequence[str]) -> ChildProcess:
+        self._started_count += 1
+        log_path = Path(self._folder.name) / f"{self._started_count:04d}-{name}.log"
         with log_path.open("wb") as log_file:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                *module,
+                *module_args,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log_file,
                 env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1"},
             )
-        return Child(process, log_path)
+        return ChildProcess(process, log_path)
 
-    async def _first_line(self, child: Child, key: str) -> dict[str, Any]:
+    async def _first_line(self, child: ChildProcess, key: str) -> dict[str, Any]:
         assert child.process.stdout is not None
         async with asyncio.timeout(START_TIMEOUT_S):
             line = await child.process.stdout.readline()
         if not line:
-            raise RuntimeError(f"a process ended at start: {child.log_path.read_text()[-2000:]}")
-        said: dict[str, Any] = msgspec.json.decode(line)
-        if key not in said:
-            raise RuntimeError(f"expected {key!r} in {said!r}")
-        child.copying = asyncio.create_task(_copy_log(child))
-        return said
-
-    def _settings(self, place: Place, fixed: dict[str, str] | None) -> dict[str, Any]:
-        local = [n.address for n in self.nodes if n.place.data_centre == place.data_centre]
-        others = [n.address for n in self.nodes if n.place.data_centre != place.data_centre]
+            raise RuntimeError(
+                f"process exited during startup: {child.log_path.read_text()[-2000:]}"
+            )
+        bound_addresses: dict[str, Any] = msgspec.json.decode(line)
+        if key not in bound_addresses:
+            raise RuntimeError(f"expected key {key!r} in the first line: {bound_addresses!r}")
+        child.log_task = asyncio.create_task(_copy_log(child))
+        return bound_addresses
+
+    def _settings(self, spec: NodeSpec, fixed_addresses: dict[str, str] | None) -> dict[str, Any]:
+        local = [n.address for n in self.nodes if n.spec.data_centre == spec.data_centre]
+        others = [n.address for n in self.nodes if n.spec.data_centre != spec.data_centre]
         base: dict[str, Any] = {
             "fleet": self.name,
-            "data_centre": place.data_centre,
-            "region": place.region,
+            "data_centre": spec.data_centre,
+            "region": spec.region,
             "address": "127.0.0.1:0",
             "callers": "127.0.0.1:0",
             "admin": "127.0.0.1:0",
-            "seeds": local[:SEEDS] + others[:SEEDS],
+            "seeds": local[:MAX_SEEDS_PER_GROUP] + others[:MAX_SEEDS_PER_GROUP],
             "platform": {"address": self.platform_address},
             "log_level": "INFO",
         }
-        return {**base, **self._overrides, **(fixed or {})}
-
-    async def start_daemon(self, place: Place, fixed: dict[str, str] | None = None) -> Child:
-        """Start one daemon, at fixed addresses where it takes the place of another."""
-        path = Path(self._folder.name) / f"settings-{self._started + 1:04d}.yaml"
-        path.write_bytes(msgspec.yaml.encode(self._settings(place, fixed)))
+        return {**base, **self._overrides, **(fixed_addresses or {})}
+
+    async def start_daemon(
+        self, spec: NodeSpec, fixed_addresses: dict[str, str] | None = None
+    ) -> ChildProcess:
+        """Start one daemon, on free ports unless fixed addresses are given."""
+        path = Path(self._folder.name) / f"settings-{self._started_count + 1:04d}.yaml"
+        path.write_bytes(msgspec.yaml.encode(self._settings(spec, fixed_addresses)))
         command = ["hornbeamgw", "daemon", "--settings", str(path), "--print-addresses"]
         child = await self._spawn("daemon", command)
         child.settings_path = path
-        child.said = await self._first_line(child, "callers")
+        child.bound_addresses = await self._first_line(child, "callers")
         return child
 
-    async def start_backend(self, place: Place, daemon: Child, announced: str = "") -> Child | None:
-        """Start the backend server beside a daemon, where the place has one.
+    async def start_backend(
+        self, spec: NodeSpec, daemon: ChildProcess, announced: str = ""
+    ) -> ChildProcess | None:
+        """Start the backend server of a node, or return None if its spec has no service.
 
-        It may announce another address than its own, that of a proxy to it.
+        The server announces its own address unless another one is given, such as a proxy's.
         """
-        if not place.service:
+        if not spec.service:
             return None
-        command = ["hornbeamgw.testing.command", "backend", "--daemon", daemon.said["admin"]]
-        command += ["--service", place.service, "--slots", str(place.slots)]
-        command += ["--connections", str(place.connections), "--work-ms", str(place.work_ms)]
+        command = [
+            "hornbeamgw.testing.command",
+            "backend",
+            "--daemon",
+            daemon.bound_addresses["admin"],
+        ]
+        command += ["--service", spec.service, "--slots", str(spec.slots)]
+        command += ["--connections", str(spec.connections), "--work-ms", str(spec.work_ms)]
         command += ["--announced", announced] if announced else []
         child = await self._spawn("backend", command)
-        child.said = await self._first_line(child, "listening")
+        child.bound_addresses = await self._first_line(child, "listening")
         return child
 
-    async def start_other(self, name: str, module: Sequence[str]) -> str:
-        """Start another process that says where it listens, and return the address."""
-        child = await self._spawn(name, module)
-        self._others.append(child)
+    async def start_process(self, name: str, module_args: Sequence[str]) -> str:
+        """Start a Python module that prints its listening address, and return the address."""
+        child = await self._spawn(name, module_args)
+        self._other_processes.append(child)
         return str((await self._first_line(child, "listening"))["listening"])
 
-    async def start_node(self, place: Place) -> Node:
-        """Start a daemon and the backend server beside it."""
-        daemon = await self.start_daemon(place)
-        backend = await self.start_backend(place, daemon)
-        node = Node(place, daemon, backend)
+    async def start_node(self, spec: NodeSpec) -> Node:
+        """Start a node: a daemon and, if its spec has a service, a backend server."""
+        daemon = await self.start_daemon(spec)
+        backend = await self.start_backend(spec, daemon)
+        node = Node(spec, daemon, backend)
         self.nodes.append(node)
         return node
 
-    async def start_nodes(self, places: Sequence[Place], at_once: int = 8) -> None:
-        """Start nodes, some at once; the first alone, for the others to join."""
-        await self.start_node(places[0])
-        for start in range(1, len(places), at_once):
-            batch = places[start : start + at_once]
-            await asyncio.gather(*(self.start_node(place) for place in batch))
+    async def start_nodes(self, specs: Sequence[NodeSpec], concurrency: int = 8) -> None:
+        """Start the first node, then the others in concurrent batches, so that they can join it."""
+        await self.start_node(specs[0])
+        for start in range(1, len(specs), concurrency):
+            batch = specs[start : start + concurrency]
+            await asyncio.gather(*(self.start_node(spec) for spec in batch))
 
     async def restart_daemon(self, node: Node) -> None:
-        """Start a daemon with nothing at the addresses of one that ended."""
+        """Start a daemon without state at the addresses of one that has exited."""
         keys = ("address", "callers", "admin")
-        fixed = {key: str(node.daemon.said[key]) for key in keys}
-        node.daemon = await self.start_daemon(node.place, fixed)
+        fixed_addresses = {key: str(node.daemon.bound_addresses[key]) for key in keys}
+        node.daemon = await self.start_daemon(node.spec, fixed_addresses)
 
     async def fault(self, **fault: object) -> None:
-        """Put a fault of the platform in force."""
-        await ask(self.platform_address, "POST", "/control", fault)
+        """Set the fault that the stand-in platform simulates."""
+        await request_json(self.platform_address, "POST", "/control", fault)
 
     async def versions(self) -> list[dict[str, Any]]:
-        """Return what each living daemon has in force."""
+        """Return the version document of each running daemon."""
         alive = [node for node in self.nodes if node.daemon.alive]
-        return list(await asyncio.gather(*(ask(n.admin, "GET", "/version") for n in alive)))
+        return list(
+            await asyncio.gather(*(request_json(n.admin, "GET", "/version") for n in alive))
+        )
 
-    async def wait_in_force(self, version: int, limit: float) -> bool:
-        """Return whether every living daemon has a version in force within a limit (s)."""
+    async def wait_in_force(self, version: int, timeout_s: float) -> bool:
+        """Wait until all running daemons have a version in force; return False on timeout."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + limit
+        end = loop.time() + timeout_s
         while loop.time() < end:
             if all(row["in_force"] >= version for row in await self.versions()):
                 return True
             await asyncio.sleep(0.05)
         return False
 
-    async def wait_members(self, limit: float) -> bool:
-        """Return whether every living daemon sees all the others within a limit (s)."""
+    async def wait_members(self, timeout_s: float) -> bool:
+        """Wait until all running daemons see all members; return False on timeout."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + limit
+        end = loop.time() + timeout_s
         alive = [node for node in self.nodes if node.daemon.alive]
         while loop.time() < end:
-            rows = await asyncio.gather(*(ask(n.admin, "GET", "/counters") for n in alive))
+            rows = await asyncio.gather(*(request_json(n.admin, "GET", "/counters") for n in alive))
             if all(row["members"] >= len(alive) for row in rows):
                 return True
             await asyncio.sleep(0.1)
--- a/hornbeamgw/testing/local.py
+++ b/hornbeamgw/testing/local.py
@@ -1,4 +1,4 @@
-"""Local daemons: real daemons on real sockets inside one process, for focused tests."""
+"""Local fleet: runs daemons and backend servers on real sockets within one process."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from hornbeamgw.testing.backend import BackendOptions, StandInBackend
 from hornbeamgw.testing.memory import MemoryPlatform, shared_by_address
 
-WAIT_LIMIT_S = 20.0
-WAIT_STEP_S = 0.005
+WAIT_TIMEOUT_S = 20.0
+WAIT_POLL_INTERVAL_S = 0.005
 
 
 async def wait_for(condition: Callable[[], object]) -> None:
-    """Wait until a condition holds; raise TimeoutError where it never does."""
-    async with asyncio.timeout(WAIT_LIMIT_S):
+    """Wait until a condition holds; raise TimeoutError after `WAIT_TIMEOUT_S`."""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
-            await asyncio.sleep(WAIT_STEP_S)
+            await asyncio.sleep(WAIT_POLL_INTERVAL_S)
 
 
 def edit_from_file(path: Path, edit_id: str) -> Edit:
-    """Return the edit that creates what a catalogue file holds."""
+    """Return the edit that creates all items of a catalogue file."""
     parsed, problems = parse_file(path.read_text(encoding="utf-8"), str(path))
     assert not problems, problems
     return Edit(
@@ -37,17 +37,17 @@
 
 
 def edit_from_bodies(bodies_by_key: dict[str, dict[str, Any]], edit_id: str) -> Edit:
-    """Return the edit that creates items."""
-    wanted = ParsedFile(bodies_by_key, {}, None)
+    """Return the edit that creates items from their bodies."""
+    parsed = ParsedFile(bodies_by_key, {}, None)
     return Edit(
         edit_id=edit_id,
         author="test",
-        changes=requested_changes(EMPTY_CATALOGUE, wanted, False, True),
+        changes=requested_changes(EMPTY_CATALOGUE, parsed, False, True),
     )
 
 
-def limit_edit(daemon: Daemon, key: str, queue: int, edit_id: str) -> Edit:
-    """Return an edit of one entry's queue, based on what a daemon knows."""
+def queue_limit_edit(daemon: Daemon, key: str, queue: int, edit_id: str) -> Edit:
+    """Return an edit of an entry's queue limit, based on the revision that a daemon has."""
     item = daemon.control.versions.catalogue.items[key]
     body = {**item.body, "limits": {**item.body["limits"], "queue": queue}}
     return Edit(
@@ -58,10 +58,10 @@
 
 
 class LocalFleet:
-    """Hold daemons and backend servers that share an event loop and a platform in memory."""
+    """Daemons and backend servers that share an event loop and an in-memory platform."""
 
     def __init__(self, name: str) -> None:
-        """Take a name; it is that of the fleet and of its platform."""
+        """Create an empty fleet with a name and an in-memory platform."""
         self.name = name
         self.address = f"127.0.0.1:{1 + len(shared_by_address) % 1000}"
         self.platform = shared_by_address.setdefault(self.address, MemoryPlatform())
@@ -69,8 +69,8 @@
         self.addresses: list[dict[str, str]] = []
         self.backends: list[StandInBackend] = []
 
-    def settings(self, **changed: Any) -> Settings:
-        """Return settings with quick timing, some of them changed."""
+    def settings(self, **overrides: Any) -> Settings:
+        """Return settings with short intervals for tests, updated with overrides."""
         base: dict[str, Any] = {
             "fleet": self.name,
             "data_centre": "suva-1",
@@ -86,11 +86,11 @@
             "membership_ack_timeout": 0.1,
             "membership_suspicion": 1.0,
         }
-        return Settings(**{**base, **changed})
+        return Settings(**{**base, **overrides})
 
-    async def start(self, **changed: Any) -> Daemon:
-        """Start a daemon."""
-        daemon = Daemon(self.settings(**changed), seed=len(self.daemons))
+    async def start(self, **overrides: Any) -> Daemon:
+        """Start a daemon that joins the daemons started so far."""
+        daemon = Daemon(self.settings(**overrides), seed=len(self.daemons))
         self.addresses.append(await daemon.start())
         self.daemons.append(daemon)
         return daemon
@@ -100,11 +100,11 @@
         return self.addresses[self.daemons.index(daemon)]["callers"]
 
     def admin(self, daemon: Daemon) -> str:
-        """Return the address of a daemon for operators."""
+        """Return the address of a daemon's admin API."""
         return self.addresses[self.daemons.index(daemon)]["admin"]
 
     async def start_backend(self, daemon: Daemon, service: str, **options: Any) -> StandInBackend:
-        """Start a backend server beside a daemon and wait until it is announced."""
+        """Start a backend server for a daemon and wait until the daemon has its announcement."""
         values = {"slots": 6, "connections": 130, "work": 0.0, **options}
         backend = StandInBackend(
             BackendOptions(service=service, daemon_admin=self.admin(daemon), **values)
@@ -115,7 +115,7 @@
         return backend
 
     async def crash(self, daemon: Daemon) -> None:
-        """End a daemon at once, as a lost VM would."""
+        """Stop a daemon without a graceful shutdown, as if its VM had failed."""
         daemon.callers.abort()
         daemon.callers.stop_accepting()
         daemon.admin.stop_accepting()
@@ -126,7 +126,7 @@
         await asyncio.sleep(0)
 
     async def close(self) -> None:
-        """End everything."""
+        """Stop all backend servers and daemons."""
         for backend in self.backends:
             backend.close()
         for daemon in self.daemons:
--- a/hornbeamgw/testing/platform.py
+++ b/hornbeamgw/testing/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in platform: table service and object store in memory, with faults on demand."""
+"""Stand-in platform: an in-memory table service and object store that can simulate faults."""
 
 from __future__ import annotations
 
@@ -19,11 +19,15 @@
     send_response,
 )
 
-BODY_LIMIT = 64 * 1024 * 1024
+BODY_LIMIT_BYTES = 64 * 1024 * 1024
 
 
 class Fault(NamedTuple):
-    """Hold a fault in force: until a time or for a number of requests."""
+    """A simulated fault that lasts until a time or for a number of requests.
+
+    `until` is in seconds of the monotonic clock, `delay` in seconds and `rate` in requests per
+    second. A negative number of requests means no limit.
+    """
 
     kind: str
     until: float
@@ -41,21 +45,21 @@
 
 
 class PlatformState:
-    """Hold rows, objects, counters and the fault in force."""
+    """The rows, objects, counters and current fault of a stand-in platform."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty state without a fault."""
         self.rows_by_key: dict[str, tuple[bytes, int]] = {}
         self.objects_by_name: dict[str, bytes] = {}
-        self.next_tag = 1
+        self.next_etag = 1
         self.fault = NO_FAULT
         self.counts = {"reads": 0, "writes": 0, "rejected": 0, "lost_answers": 0}
         self.reads_by_second: dict[int, int] = {}
-        self.allowance = 0.0
-        self.allowance_at = 0.0
+        self.rate_tokens = 0.0
+        self.rate_tokens_at = 0.0
 
 
-def _holds(state: PlatformState, write: dict[str, Any]) -> bool:
+def _condition_holds(state: PlatformState, write: dict[str, Any]) -> bool:
     row = state.rows_by_key.get(write["key"])
     if "if_none_match" in write:
         return row is None
@@ -65,20 +69,20 @@
 
 
 def transact(state: PlatformState, writes: list[dict[str, Any]]) -> bool:
-    """Apply all writes where each condition holds, or none."""
-    if not all(_holds(state, write) for write in writes):
+    """Apply all writes if all their conditions hold, otherwise none; return whether they held."""
+    if not all(_condition_holds(state, write) for write in writes):
         return False
     for write in writes:
         if write["value"] is None:
             state.rows_by_key.pop(write["key"], None)
         else:
             value = base64.b64decode(write["value"])
-            state.rows_by_key[write["key"]] = (value, state.next_tag)
-            state.next_tag += 1
+            state.rows_by_key[write["key"]] = (value, state.next_etag)
+            state.next_etag += 1
     return True
 
 
-def _take_fault(state: PlatformState, is_write: bool, now: float) -> Fault:
+def _next_fault(state: PlatformState, is_write: bool, now: float) -> Fault:
     fault = state.fault
     if fault.kind == "none" or _is_over(fault, now):
         state.fault = NO_FAULT
@@ -90,16 +94,16 @@
     return fault
 
 
-def _over_rate(state: PlatformState, rate: float, now: float) -> bool:
-    state.allowance = min(rate, state.allowance + (now - state.allowance_at) * rate)
-    state.allowance_at = now
-    if state.allowance < 1:
+def _exceeds_rate(state: PlatformState, rate: float, now: float) -> bool:
+    state.rate_tokens = min(rate, state.rate_tokens + (now - state.rate_tokens_at) * rate)
+    state.rate_tokens_at = now
+    if state.rate_tokens < 1:
         return True
-    state.allowance -= 1
+    state.rate_tokens -= 1
     return False
 
 
-class _Asked(NamedTuple):
+class _ReceivedRequest(NamedTuple):
     connection: HttpConnection
     request: h11.Request
     method: str
@@ -108,36 +112,36 @@
 
 
 class StandInPlatform:
-    """Serve the state over HTTP."""
+    """An HTTP server for a platform state."""
 
     def __init__(self) -> None:
-        """Start with an empty platform."""
+        """Create a server with an empty state."""
         self.state = PlatformState()
         self._server = HttpServer(self._handle, Timeouts())
 
     async def start(self, address: str) -> str:
-        """Listen and return the address in use."""
+        """Start listening and return the address in use."""
         return await self._server.start(address)
 
     def close(self) -> None:
-        """Stop at once."""
+        """Close the listener and all connections immediately."""
         self._server.stop_accepting()
         self._server.abort()
 
     async def _handle(self, connection: HttpConnection, request: h11.Request) -> None:
-        body = await read_body(connection, BODY_LIMIT)
+        body = await read_body(connection, BODY_LIMIT_BYTES)
         method, target = request.method.decode(), request.target.decode()
         if target.startswith("/control"):
             self._control(connection, method, body)
             return
-        asked = _Asked(connection, request, method, target, body)
+        received = _ReceivedRequest(connection, request, method, target, body)
         now = time.monotonic()
-        fault = _take_fault(self.state, method != "GET", now)
+        fault = _next_fault(self.state, method != "GET", now)
         if fault.kind == "outage":
             self.state.counts["rejected"] += 1
             json_response(connection, 503, {"error": "outage"})
             return
-        if fault.kind == "rate_limit" and _over_rate(self.state, fault.rate, now):
+        if fault.kind == "rate_limit" and _exceeds_rate(self.state, fault.rate, now):
             self.state.counts["rejected"] += 1
             json_response(connection, 429, {"error": "rate limit"})
             return
@@ -145,9 +149,9 @@
             await asyncio.sleep(fault.delay)
         self._count(method, now)
         if fault.kind == "lose_answer":
-            self._apply_and_lose(asked)
+            self._apply_without_answer(received)
             return
-        self._serve(asked)
+        self._serve(received)
 
     def _count(self, method: str, now: float) -> None:
         self.state.counts["reads" if method == "GET" else "writes"] += 1
@@ -156,23 +160,23 @@
             by_second = self.state.reads_by_second
             by_second[second] = by_second.get(second, 0) + 1
 
-    def _apply_and_lose(self, asked: _Asked) -> None:
-        if asked.method == "POST":
-            transact(self.state, msgspec.json.decode(asked.body))
-        elif asked.method == "PUT":
-            self.state.objects_by_name[asked.target.removeprefix("/objects/")] = asked.body
+    def _apply_without_answer(self, received: _ReceivedRequest) -> None:
+        if received.method == "POST":
+            transact(self.state, msgspec.json.decode(received.body))
+        elif received.method == "PUT":
+            self.state.objects_by_name[received.target.removeprefix("/objects/")] = received.body
         self.state.counts["lost_answers"] += 1
-        asked.connection.abort()
-
-    def _serve(self, asked: _Asked) -> None:
-        connection = asked.connection
-        if asked.target.startswith("/objects/"):
-            self._serve_object(asked)
-        elif asked.method == "POST" and asked.target == "/table":
-            done = transact(self.state, msgspec.json.decode(asked.body))
-            json_response(connection, 200 if done else 412, {"done": done})
-        elif asked.method == "GET" and asked.target.startswith("/table/"):
-            row = self.state.rows_by_key.get(asked.target.removeprefix("/table/"))
+        received.connection.abort()
+
+    def _serve(self, received: _ReceivedRequest) -> None:
+        connection = received.connection
+        if received.target.startswith("/objects/"):
+            self._serve_object(received)
+        elif received.method == "POST" and received.target == "/table":
+            applied = transact(self.state, msgspec.json.decode(received.body))
+            json_response(connection, 200 if applied else 412, {"done": applied})
+        elif received.method == "GET" and received.target.startswith("/table/"):
+            row = self.state.rows_by_key.get(received.target.removeprefix("/table/"))
             if row is None:
                 json_response(connection, 404, {"error": "no such row"})
             else:
@@ -180,18 +184,20 @@
         else:
             json_response(connection, 404, {"error": "no such resource"})
 
-    def _serve_object(self, asked: _Asked) -> None:
-        name = asked.target.removeprefix("/objects/")
+    def _serve_object(self, received: _ReceivedRequest) -> None:
+        name = received.target.removeprefix("/objects/")
         objects = self.state.objects_by_name
-        if asked.method == "PUT":
-            absent = header(asked.request.headers, b"if-none-match") == b"*"
-            exists = name in objects and absent
-            objects.setdefault(name, asked.body)
-            json_response(asked.connection, 412 if exists else 201, {"stored": not exists})
-        elif asked.method == "GET" and name in objects:
-            send_response(asked.connection, 200, [], objects[name])
+        if received.method == "PUT":
+            must_be_absent = header(received.request.headers, b"if-none-match") == b"*"
+            is_conflict = name in objects and must_be_absent
+            objects.setdefault(name, received.body)
+            json_response(
+                received.connection, 412 if is_conflict else 201, {"stored": not is_conflict}
+            )
+        elif received.method == "GET" and name in objects:
+            send_response(received.connection, 200, [], objects[name])
         else:
-            json_response(asked.connection, 404, {"error": "no such object"})
+            json_response(received.connection, 404, {"error": "no such object"})
 
     def _control(self, connection: HttpConnection, method: str, body: bytes) -> None:
         if method == "GET":
@@ -200,18 +206,18 @@
             document = {**state.counts, "fault": state.fault.kind, "peak_reads_per_s": peak}
             json_response(connection, 200, document)
             return
-        wanted = msgspec.json.decode(body)
-        if wanted.get("kind") not in FAULT_KINDS:
+        fault_request = msgspec.json.decode(body)
+        if fault_request.get("kind") not in FAULT_KINDS:
             json_response(connection, 400, {"error": f"kind: expected one of {FAULT_KINDS}"})
             return
         self.state.fault = Fault(
-            wanted["kind"],
-            time.monotonic() + float(wanted.get("seconds", 1e9)),
-            int(wanted.get("requests", -1)),
-            float(wanted.get("delay", 0.0)),
-            float(wanted.get("rate", 0.0)),
+            fault_request["kind"],
+            time.monotonic() + float(fault_request.get("seconds", 1e9)),
+            int(fault_request.get("requests", -1)),
+            float(fault_request.get("delay", 0.0)),
+            float(fault_request.get("rate", 0.0)),
         )
-        if wanted.get("reset_counts"):
+        if fault_request.get("reset_counts"):
             self.state.counts = dict.fromkeys(self.state.counts, 0)
             self.state.reads_by_second.clear()
-        json_response(connection, 200, {"fault": wanted["kind"]})
+        json_response(connection, 200, {"fault": fault_request["kind"]})
--- a/hornbeamgw/testing/platform_server.py
+++ b/hornbeamgw/testing/platform_server.py
@@ -1,7 +1,7 @@
-"""Platform server: a backend server as the users' platform runs it, of some version.
+"""Platform server: a stand-in for a backend server of the users' platform.
 
-It tells the daemon beside it of itself, and counts what it ran. Part of its answers may be failures
-or slow, from its start or from some time on.
+It sends heartbeats to a daemon and counts its requests. A share of its responses can be failures or
+slow.
 """
 
 from __future__ import annotations
@@ -16,60 +16,64 @@
 from hornbeamgw.daemon.http1 import ConnectionLost, HttpClient, HttpConnection, header
 from hornbeamgw.daemon.http_server import HttpServer, Timeouts, read_body, send_response
 
-BODY_LIMIT = 1024 * 1024
-HEARTBEAT_S = 0.3
-TIMEOUT_S = 1.0
-SIGNATURE = (b"x-response-signature", b"s")
+BODY_LIMIT_BYTES = 1024 * 1024
+HEARTBEAT_INTERVAL_S = 0.3
+ANNOUNCE_TIMEOUT_S = 1.0
+SIGNATURE_HEADER = (b"x-response-signature", b"s")
 
 
 class ServerOptions(NamedTuple):
-    """Hold what a server is like; times in seconds."""
+    """Parameters of a server; times are in seconds.
+
+    `software` is the version that the server reports. `slow_factor` multiplies the work time of
+    slow responses.
+    """
 
     name: str
     service: str
     software: str
     slots: int = 6
     work: float = 0.01
-    failing_share: float = 0.0
-    slow_share: float = 0.0
-    slow_times: float = 6.0
+    failure_ratio: float = 0.0
+    slow_ratio: float = 0.0
+    slow_factor: float = 6.0
 
 
 class PlatformServer:
-    """Serve requests, tell of itself, and keep the record that tests count by."""
+    """A backend server that sends heartbeats to a daemon and counts its requests."""
 
-    def __init__(self, options: ServerOptions, daemon: str, seed: int = 0) -> None:
-        """Take what it is like, and the daemon's address for announcements."""
+    def __init__(self, options: ServerOptions, announce_address: str, seed: int = 0) -> None:
+        """Create a server that announces itself to a daemon at its announcement address."""
         self.options = options
         self.address = ""
         self.runs = 0
         self.is_stopped = False
         self._rng = random.Random(seed)
         self._sequence = 0
-        self._client = HttpClient(daemon, TIMEOUT_S)
-        self._http = HttpServer(self._answer, Timeouts())
-        self._beats: asyncio.Task[None] | None = None
+        self._announcer = HttpClient(announce_address, ANNOUNCE_TIMEOUT_S)
+        self._server = HttpServer(self._handle, Timeouts())
+        self._heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen on loopback and begin to tell of itself."""
-        self.address = await self._http.start("127.0.0.1:0")
-        self._beats = asyncio.create_task(self._beat_loop())
+        """Listen on loopback and start sending heartbeats."""
+        self.address = await self._server.start("127.0.0.1:0")
+        self._heartbeat_task = asyncio.create_task(self._heartbeat_loop())
 
-    def move_to(self, daemon: str) -> None:
-        """Tell another daemon from now on, as after the restart of the one beside it."""
-        self._client.close()
-        self._client = HttpClient(daemon, TIMEOUT_S)
+    def announce_to(self, announce_address: str) -> None:
+        """Send heartbeats to another address, for instance after a restart of the daemon."""
+        self._announcer.close()
+        self._announcer = HttpClient(announce_address, ANNOUNCE_TIMEOUT_S)
 
     def stop(self) -> None:
-        """Stop at once, without a word."""
+        """Stop immediately, without reporting it to the daemon."""
         self.is_stopped = True
-        if self._beats is not None:
-            self._beats.cancel()
-        self._http.stop_accepting()
-        self._http.abort()
-        self._client.close()
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
+        self._server.stop_accepting()
+        self._server.abort()
+        self._announcer.close()
 
-    async def _beat_loop(self) -> None:
+    async def _heartbeat_loop(self) -> None:
         while True:
             self._sequence += 1
             info = {"service": self.options.service, "version": self.options.software}
@@ -80,22 +84,22 @@
             }
             path = f"/-/instances/{self.options.name}"
             try:
-                await self._client.request("PUT", path, body=msgspec.msgpack.encode(body))
+                await self._announcer.request("PUT", path, body=msgspec.msgpack.encode(body))
             except (OSError, TimeoutError, ConnectionLost, h11.ProtocolError):
-                pass  # The next heartbeat makes up for it.
-            await asyncio.sleep(HEARTBEAT_S)
+                pass  # The next heartbeat is sent anyway.
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def _answer(self, connection: HttpConnection, request: h11.Request) -> None:
-        await read_body(connection, BODY_LIMIT)
+    async def _handle(self, connection: HttpConnection, request: h11.Request) -> None:
+        await read_body(connection, BODY_LIMIT_BYTES)
         name = (b"x-instance-id", self.options.name.encode())
         if request.target == b"/healthz":
             send_response(connection, 200, [name], b"")
             return
         self.runs += 1
-        drawn = self._rng.random()
-        is_slow = drawn < self.options.slow_share
-        await asyncio.sleep(self.options.work * (self.options.slow_times if is_slow else 1.0))
+        sample = self._rng.random()
+        is_slow = sample < self.options.slow_ratio
+        await asyncio.sleep(self.options.work * (self.options.slow_factor if is_slow else 1.0))
         call_id = header(request.headers, b"x-request-id") or b""
-        headers = [(b"x-request-id", call_id), SIGNATURE, name]
-        status = 500 if drawn < self.options.failing_share else 200
+        headers = [(b"x-request-id", call_id), SIGNATURE_HEADER, name]
+        status = 500 if sample < self.options.failure_ratio else 200
         send_response(connection, status, headers, b"{}")
--- a/properties/fleet_soak.py
+++ b/properties/fleet_soak.py
@@ -19,7 +19,7 @@
 
 from hornbeamgw.core.edit import Change, Edit
 from hornbeamgw.testing.demo import example_edit
-from hornbeamgw.testing.fleet import Child, Fleet, Node, Place, ask
+from hornbeamgw.testing.fleet import ChildProcess, Fleet, Node, NodeSpec, request_json
 from hornbeamgw.testing.load import Audit, Load, audit
 from hornbeamgw.testing.proxy import NO_HARM, Harm, Proxy
 
@@ -83,7 +83,7 @@
     async def start(self, count: int) -> None:
         """Start the nodes, with a proxy to each backend server and each daemon's callers' port."""
         for index in range(count):
-            place = Place(f"dc-{index % 2}", "region", SERVICES[index % len(SERVICES)], 6, 130)
+            place = NodeSpec(f"dc-{index % 2}", "region", SERVICES[index % len(SERVICES)], 6, 130)
             node = Node(place, await self.fleet.start_daemon(place), None)
             self.fleet.nodes.append(node)
             await self._start_server(node)
@@ -94,9 +94,9 @@
     async def _start_server(self, node: Node) -> None:
         proxy = Proxy()
         await proxy.start()
-        node.backend = await self.fleet.start_backend(node.place, node.daemon, proxy.address)
+        node.backend = await self.fleet.start_backend(node.spec, node.daemon, proxy.address)
         assert node.backend is not None
-        proxy.target = str(node.backend.said["listening"])
+        proxy.target = str(node.backend.bound_addresses["listening"])
         self.servers.append(proxy)
 
     def close(self) -> None:
@@ -121,7 +121,7 @@
         self.cut_off += code != 0 and not others_harmed and not self.harmed["paths"]
         await self.fleet.restart_daemon(node)
 
-    async def pause(self, child: Child) -> None:
+    async def pause(self, child: ChildProcess) -> None:
         """Let a process stand still for a while."""
         child.signal(signal.SIGSTOP)
         await asyncio.sleep(self.rng.uniform(0.2, 2.5))
@@ -200,9 +200,14 @@
     async def result(self) -> tuple[Audit, int]:
         """Return the audit of all calls, and what the daemons' own invariants counted."""
         servers = [n.backend for n in self.fleet.nodes if n.backend is not None]
-        asked = [ask(s.said["listening"], "POST", "/control/report", {}) for s in servers]
+        asked = [
+            request_json(s.bound_addresses["listening"], "POST", "/control/report", {})
+            for s in servers
+        ]
         reports = list(await asyncio.gather(*asked))
-        rows = await asyncio.gather(*(ask(n.admin, "GET", "/counters") for n in self.fleet.nodes))
+        rows = await asyncio.gather(
+            *(request_json(n.admin, "GET", "/counters") for n in self.fleet.nodes)
+        )
         violations = sum(sum(row["invariants"].values()) for row in rows)
         return audit(self.load.outcomes, reports), violations
 
@@ -215,13 +220,13 @@
         node = rng.choice([n for n in fleet.nodes if n.daemon.alive])
         try:
             async with asyncio.timeout(5.0):
-                catalogue = await ask(node.admin, "GET", "/catalogue")
+                catalogue = await request_json(node.admin, "GET", "/catalogue")
                 key = choose(sorted(k for k in catalogue["items"] if k.startswith("entry/")))
                 revision, body = catalogue["items"][key]
                 body["limits"]["queue"] = 20 + number
                 changes = [Change(key=key, based_on=revision, body=body)]
                 edit = Edit(edit_id=f"soak-{number}", author="soak", changes=changes)
-                answer = await ask(node.admin, "POST", "/edits", edit)
+                answer = await request_json(node.admin, "POST", "/edits", edit)
         except Exception:  # a harmed daemon may answer anything, or nothing
             await asyncio.sleep(0.3)
             continue
@@ -234,7 +239,7 @@
 async def _version(node: Node) -> dict[str, Any] | None:
     try:
         async with asyncio.timeout(1.0):
-            row: dict[str, Any] = await ask(node.admin, "GET", "/version")
+            row: dict[str, Any] = await request_json(node.admin, "GET", "/version")
             return row
     except Exception:  # a harmed daemon may answer anything, or nothing
         return None
@@ -257,7 +262,7 @@
 async def _carry_out(soak: Soak, seed: int, steps: int, count: int) -> Report:
     fleet, rng = soak.fleet, soak.rng
     await soak.start(count)
-    answer = await ask(fleet.nodes[0].admin, "POST", "/edits", example_edit(seed))
+    answer = await request_json(fleet.nodes[0].admin, "POST", "/edits", example_edit(seed))
     if not await fleet.wait_in_force(int(answer["version"]), CONVERGENCE_S):
         raise RuntimeError("the example catalogue is not in force everywhere")
     soak.load.start(WORKERS, PAUSE_S)
--- a/properties/planned_soak.py
+++ b/properties/planned_soak.py
@@ -22,7 +22,7 @@
 from hornbeamgw.core.verdict import Reason, Verdict
 from hornbeamgw.daemon.calls import GATE_MARGIN_MAX_S
 from hornbeamgw.testing.demo import example_edit
-from hornbeamgw.testing.fleet import Fleet, Node, Place, ask
+from hornbeamgw.testing.fleet import Fleet, Node, NodeSpec, request_json
 from hornbeamgw.testing.template import render
 from properties.fleet_soak import CONVERGENCE_S, edit_limit, seeds_of
 from properties.planned_load import MEAN_LARGE_BYTES, PlannedLoad, Told
@@ -339,8 +339,8 @@
     reports = {}
     for node in fleet.nodes:
         assert node.backend is not None
-        listening = str(node.backend.said["listening"])
-        reports[node.callers] = await ask(listening, "POST", "/control/report", {})
+        listening = str(node.backend.bound_addresses["listening"])
+        reports[node.callers] = await request_json(listening, "POST", "/control/report", {})
     return Records(reports)
 
 
@@ -351,9 +351,9 @@
     """
     async with Fleet(f"planned-{seed}", _settings()) as fleet:
         indexes = range(NODES)
-        places = [Place(f"dc-{i % 2}", "r", SERVICES[i % len(SERVICES)]) for i in indexes]
+        places = [NodeSpec(f"dc-{i % 2}", "r", SERVICES[i % len(SERVICES)]) for i in indexes]
         await fleet.start_nodes(places)
-        answer = await ask(fleet.nodes[0].admin, "POST", "/edits", _catalogue(seed))
+        answer = await request_json(fleet.nodes[0].admin, "POST", "/edits", _catalogue(seed))
         if not await fleet.wait_in_force(int(answer["version"]), CONVERGENCE_S):
             raise RuntimeError("the example catalogue is not in force everywhere")
         return await _carry_out(fleet, seed, seconds, large)
