--- a/hornbeamgw/testing/backend.py
+++ b/hornbeamgw/testing/backend.py
@@ -100,7 +100,7 @@
             await self._announcer.request("PUT", "/announce", body=body)
         except (OSError, TimeoutError, ConnectionLost, h11.ProtocolError) as error:
             log.info(
-                "daemon did not accept the announcement; retrying at the next renewal",
+                "announcement failed; retrying at the next renewal",
                 extra={"error": str(error)},
             )
 
--- a/hornbeamgw/testing/fleet.py
+++ b/hornbeamgw/testing/fleet.py
@@ -19,6 +19,7 @@
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 15.0
 REQUEST_TIMEOUT_S = 30.0
+# For the daemons of the same data centre and for all others.
 MAX_SEEDS_PER_GROUP = 5
 
 
--- a/hornbeamgw/testing/platform_server.py
+++ b/hornbeamgw/testing/platform_server.py
@@ -86,7 +86,7 @@
             try:
                 await self._announcer.request("PUT", path, body=msgspec.msgpack.encode(body))
             except (OSError, TimeoutError, ConnectionLost, h11.ProtocolError):
-                pass  # The next heartbeat is sent anyway.
+                pass  # The next heartbeat serves as the retry.
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _handle(self, connection: HttpConnection, request: h11.Request) -> None:
--- a/hornbeamgw/testing/store.py
+++ b/hornbeamgw/testing/store.py
@@ -100,6 +100,7 @@
         self.changes: deque[_Change] = deque()
         self.feed_start = 0
         self.state = 0
+        # Incremented by each restore and sent as a response header.
         self.era = 0
         self.fault = ""
         self.write_faults: deque[str] = deque()
