--- a/features/steps/compression.py
+++ b/features/steps/compression.py
@@ -156,7 +156,7 @@
 
 @then("both daemons count by what moved them the bytes that crossed")
 def counted(context):
-    near, far = (d.control.meter.crossed for d in (context.near, context.far))
+    near, far = (d.control.meter.remote_byte_counts for d in (context.near, context.far))
     assert near["call.head"] > 0 and near["call.body"] >= context.size, near
     assert far["reply.head"] > 0, far
     lines = context.runner.run(context.metrics.request("GET", "/metrics")).body.decode()
--- a/hornbeamgw/core/rollout.py
+++ b/hornbeamgw/core/rollout.py
@@ -145,7 +145,7 @@
     return min(DECISION_MARGIN_S, DECISION_MARGIN_RATIO * duration)
 
 
-def hear(state: RolloutState, received: RolloutStatus, now: float) -> bool:
+def receive_status(state: RolloutState, received: RolloutStatus, now: float) -> bool:
     """Adopt a status from another leader; return whether it supersedes the current one."""
     if received.number != state.order.number or not supersedes(received, state.status):
         return False
--- a/hornbeamgw/daemon/admin.py
+++ b/hornbeamgw/daemon/admin.py
@@ -125,7 +125,7 @@
             exposition.gauge("quarantined", len(self._quarantine.state.periods_by_fingerprint)),
             *exposition.counters("control_bytes_in", meter.bytes_in),
             *exposition.counters("control_bytes_out", meter.bytes_out),
-            *exposition.counters("bytes_between_data_centres", meter.crossed),
+            *exposition.counters("bytes_between_data_centres", meter.remote_byte_counts),
             *exposition.counters("faults", meter.faults),
             *exposition.counters("invariant_violations", invariants.violations_by_name),
             exposition.gauge("version_in_force", state.snapshot.version),
--- a/hornbeamgw/daemon/attempts.py
+++ b/hornbeamgw/daemon/attempts.py
@@ -96,7 +96,7 @@
 
 
 class Links:
-    """The links to other daemons, with the attempts to which received frames belong."""
+    """The links to other daemons, and the unfinished attempts on them."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         hello : callable
             Returns the hello frame of this daemon.
         on_fault : callable
-            Called with a description of each protocol error.
+            Called with a description of each communication fault.
         remote_byte_counts : Counter, optional
             Counts the bytes sent to other data centres, by kind of frame.
         """
@@ -157,13 +157,13 @@
         self._dialling_by_address.pop(address, None)
         if not task.cancelled() and task.exception() is None:
             link = task.result()
-            link.crossed = self._remote_byte_counts
+            link.remote_byte_counts = self._remote_byte_counts
             self._links_by_address[address] = link
 
     def start(
         self, link: Link, load: Load, now: float, idempotent: bool = False, server: int = 0
     ) -> Attempt:
-        """Return a new attempt on a link, for the server with that number at the other daemon."""
+        """Return a new attempt on a link; `server` is the server's number at the other daemon."""
         self._next_number += 1
         attempt = Attempt(self._next_number, link, load, now, idempotent, server)
         self._attempts_by_number[attempt.number] = attempt
@@ -236,14 +236,14 @@
         age_ms = max(0, round((now - attempt.started) * 1000))
         question = frames.Question(attempt.number, age_ms, attempt.server)
         try:
-            exchanged = await exchange(address, self._hello(), question, self._on_fault, timeout)
+            result = await exchange(address, self._hello(), question, self._on_fault, timeout)
         except LinkLost as error:
             self.counts["unresolved"] += 1
             return may_have_run(Reason.LINK_LOST, str(error))
-        if exchanged.peer != attempt.link.peer:
+        if result.peer != attempt.link.peer:
             self.counts["resolved_may_have_run"] += 1
             return may_have_run(Reason.LINK_LOST, "the daemon beside the backend server restarted")
-        answer = exchanged.answer
+        answer = result.answer
         if isinstance(answer, frames.Resolution) and not answer.may_have_run:
             self.counts["resolved_not_run"] += 1
             return not_run(Reason.LINK_LOST, "never admitted")
--- a/hornbeamgw/daemon/backend_pool.py
+++ b/hornbeamgw/daemon/backend_pool.py
@@ -99,8 +99,8 @@
         """Apply the timeout in the value of a `Keep-Alive` header."""
         match = _KEEP_ALIVE.search(value or b"")
         if match is not None:
-            kept = float(match[1]) * KEEP_ALIVE_RATIO
-            self._max_idle_by_connection[connection] = kept
+            max_idle = float(match[1]) * KEEP_ALIVE_RATIO
+            self._max_idle_by_connection[connection] = max_idle
 
     def release(self, connection: HttpConnection) -> None:
         """Return a connection to the pool, or close it if its exchange is incomplete."""
--- a/hornbeamgw/daemon/call.py
+++ b/hornbeamgw/daemon/call.py
@@ -65,7 +65,7 @@
 def placement_record(
     chosen: Candidate, why_far: RemoteReason | None, now: float
 ) -> PlacementRecord:
-    """Return the chosen server with its load report and, if remote, the reason for that."""
+    """Return the chosen server with its load report and, if it is remote, why it was chosen."""
     load = chosen.load
     age_ms = round((now - load.reported_at) * 1000)
     failure_probability = round(placement.failure_probability(load, now), 2)
@@ -88,14 +88,14 @@
         Time until the deadline that the caller sent, or the deadline of the route.
     gates_asked : int
         Number of gates that were asked whether they would admit the call.
-    takers : list of Candidate
+    accepting : list of Candidate
         Servers whose gates answered that they would admit the call.
     why_far : RemoteReason or None
         Why a server in another data centre was chosen.
     replacement_wait : float
         Time in seconds spent waiting while all servers were about to be replaced.
     reached_attempts, refused_attempts : int
-        Failed attempts that reached a server, and those that were refused or lost before.
+        Numbers of failed attempts that reached a server, and that were refused or lost before.
     is_body_streaming : bool
         Whether the rest of the request body is being sent, so that it can't be sent again.
     tried : list of str
@@ -121,7 +121,7 @@
         self.time_left_ms = 0
         self.gates_asked = 0
         self.sampling_rounds_left = sampling.MAX_ROUNDS
-        self.takers: list[Candidate] = []
+        self.accepting: list[Candidate] = []
         self.why_far: RemoteReason | None = None
         self.replacement_wait = 0.0
         self.retry_after_ms = 0
@@ -162,7 +162,7 @@
 
 
 def int_header(request: h11.Request, name: bytes, default: int) -> int:
-    """Return the integer in the header `name`; raise BadRequest if it isn't one."""
+    """Return the integer in a header, or `default` if missing; raise BadRequest if invalid."""
     given = header(request.headers, name) if name else None
     if given is None:
         return default
--- a/hornbeamgw/daemon/calls.py
+++ b/hornbeamgw/daemon/calls.py
@@ -112,7 +112,7 @@
         quarantine: Quarantine,
         exposure_state: ExposureState,
     ) -> None:
-        """Handle calls.
+        """Create a handler without active calls.
 
         Parameters
         ----------
@@ -124,6 +124,10 @@
             Chooses the server of each attempt.
         replay_limit : int
             Bytes of a request body up to which it is buffered for retries.
+        rng : random.Random
+            Used for random choices and delays.
+        identity : Identity
+            Header dialect and service name of this daemon.
         budget : BudgetState
             Retry budget of the fleet.
         retry_ratio : callable
@@ -161,45 +165,45 @@
         started = loop.time()
         view = self._view()
         call_id = call_id_of(request, self._dialect.call_id)
-        found = self._accept(view, request, call_id, started)
-        if isinstance(found, Call):
-            priority = found.route.priority
-            retry_budget.note_request(self._budget, found.service, started, priority)
+        call = self._accept(view, request, call_id, started)
+        if isinstance(call, Call):
+            priority = call.route.priority
+            retry_budget.note_request(self._budget, call.service, started, priority)
             retry_ratio = self._retry_ratio()
-            retry_budget.note_nested_retry(self._budget, found.service, retry_ratio, started)
-            found = self._refusal_while_stopping(found, view, started) or found
-        if isinstance(found, Failure):
-            self.counts[f"failed.{found.reason}"] += 1
-            log_refused(call_id, found, view.snapshot.version)
-            self._fail(connection, found, call_id)
+            retry_budget.note_nested_retry(self._budget, call.service, retry_ratio, started)
+            call = self._refusal_while_stopping(call, view, started) or call
+        if isinstance(call, Failure):
+            self.counts[f"failed.{call.reason}"] += 1
+            log_refused(call_id, call, view.snapshot.version)
+            self._fail(connection, call, call_id)
             return
         send_continue(connection)
-        await read_body(connection, found, self._replay_limit)
-        found.fingerprint = fingerprint_of_call(found, self._dialect)
-        found.progress = Progress(started)
+        await read_body(connection, call, self._replay_limit)
+        call.fingerprint = fingerprint_of_call(call, self._dialect)
+        call.progress = Progress(started)
         if self.draining:
-            found.urgency.mark_urgent(started)
-        timer = loop.call_at(found.deadline, self._on_deadline, found)
-        connection.on_lost = lambda: self._on_caller_gone(found)
-        self._active_calls.add(found)
+            call.urgency.mark_urgent(started)
+        timer = loop.call_at(call.deadline, self._on_deadline, call)
+        connection.on_lost = lambda: self._on_caller_gone(call)
+        self._active_calls.add(call)
         try:
-            failure = await self._attempt_until_done(connection, found, view)
+            failure = await self._attempt_until_done(connection, call, view)
         finally:
             timer.cancel()
             connection.on_lost = None
-            self._active_calls.discard(found)
-        owner = (found.route.entry.owner, found.route.entry.traffic_class)
+            self._active_calls.discard(call)
+        owner = (call.route.entry.owner, call.route.entry.traffic_class)
         elapsed = loop.time() - started
         verdict = Verdict.ANSWERED if failure is None else failure.verdict
         self.histograms.record(owner, verdict, elapsed)
         self.counts[f"calls.{verdict}"] += 1
-        log_end(found, failure, elapsed, view.snapshot.version)
+        log_end(call, failure, elapsed, view.snapshot.version)
         if failure is not None:
             self.counts[f"failed.{failure.reason}"] += 1
             self._fail(connection, failure, call_id)
 
     def stop(self, plan: stopping.Plan) -> None:
-        """Close connections after their current answers, and request these with priority."""
+        """Close connections after their current answers, which are requested with priority."""
         self.draining = True
         self._stop = plan
         for call in self._active_calls:
--- a/hornbeamgw/daemon/committer.py
+++ b/hornbeamgw/daemon/committer.py
@@ -116,5 +116,5 @@
 
     def _find_committed(self, edit_id: str) -> Delta | None:
         blobs = self._control.versions.deltas_by_version.values()
-        found = [edit.decode_delta(blob) for blob in blobs if edit_id.encode() in blob]
-        return commit.find_edit(found, edit_id)
+        deltas = [edit.decode_delta(blob) for blob in blobs if edit_id.encode() in blob]
+        return commit.find_edit(deltas, edit_id)
--- a/hornbeamgw/daemon/compression.py
+++ b/hornbeamgw/daemon/compression.py
@@ -1,8 +1,8 @@
 """Compression of frame heads on links between data centres.
 
-Each direction of a link is one deflate stream, so that a head refers to previous, similar heads. It
-shrinks a head of 300 to 400 bytes to 60 to 70 bytes. Bodies are not compressed: they are assumed to
-be incompressible and would displace the heads from the window.
+Each direction of a link is one deflate stream, so that a head refers to previous, similar heads.
+This shrinks a head of 300 to 400 bytes to 60 to 70 bytes. Bodies are not compressed: they are
+assumed to be incompressible and would displace the heads from the window.
 """
 
 from __future__ import annotations
--- a/hornbeamgw/daemon/control.py
+++ b/hornbeamgw/daemon/control.py
@@ -108,9 +108,12 @@
             self._transport.close()
 
     def record_fault(self, description: str) -> None:
-        """Count and log a protocol error; the part before the first colon is its kind."""
+        """Count and log a communication fault.
+
+        The part of the description before the first colon is the kind under which it is counted.
+        """
         self.meter.faults[description.partition(":")[0]] += 1
-        log.warning("protocol error in a message from another daemon", extra={"fault": description})
+        log.warning("fault in the communication with another daemon", extra={"fault": description})
 
     # Effects
 
@@ -169,7 +172,7 @@
             self.meter.faults["push without an answer"] += 1
         elif isinstance(effect, node.EraStarted):
             log.warning(
-                "platform store was restored; recent writes may be lost", extra={"era": effect.era}
+                "platform store has a new era; recent writes may be lost", extra={"era": effect.era}
             )
             for on_era in self.on_era:
                 on_era(effect.era)
@@ -231,8 +234,8 @@
         self.meter.received(_kind(received.message), len(payload))
         self._execute(node.receive(self.node, received, _moment(), self.rng))
 
-    def _is_newer(self, address: str, order: tuple[int, int, int]) -> bool:
-        return membership.is_newer(self.view, address, order)
+    def _is_newer(self, address: str, rank: tuple[int, int, int]) -> bool:
+        return membership.is_newer(self.view, address, rank)
 
     def _record_contact(self) -> None:
         self.has_had_contact = True
@@ -251,7 +254,7 @@
                 self._check()
 
     def note_era(self, era: int) -> None:
-        """Process the era of the platform's store, as read from it."""
+        """Process the store's era, a number that increases when acknowledged writes are lost."""
         self._execute(node.note_era(self.node, era))
 
     def send_tally(self, to: Sequence[str], tally: Tally) -> None:
@@ -278,13 +281,16 @@
         return advanced
 
     def learn_version(self, version: int, bodies: Mapping[str, Any], origin: Origin) -> bool:
-        """Process all items of a version from an external source, as learn_deltas() does."""
+        """Process all items of a version from an external source.
+
+        Return whether the known version advanced.
+        """
         advanced, effects = node.learn_version(self.node, version, bodies, origin, _moment())
         self._execute(effects)
         return advanced
 
     def set_floor(self, floor: int, why: str) -> None:
-        """Set the floor, and apply the known version unless it is below the floor."""
+        """Set the lowest version that may be applied; apply the known one unless it is lower."""
         log.info("floor determined", extra={"floor": floor, "why": why})
         self._execute(node.set_floor(self.node, floor, why, _moment()))
 
@@ -315,14 +321,14 @@
         kind: str,
         timeout: float = EXCHANGE_TIMEOUT_S,
     ) -> frames.Frame:
-        """Send a request and return the answer; raise LinkLost.
+        """Send a request and return the answer; raise LinkLost if none arrives.
 
         `kind` is the label of the traffic counters, and `timeout` is in seconds.
         """
-        done = await exchange(address, self.hello, request, self.record_fault, timeout)
-        self.meter.sent(kind, done.bytes_out)
-        self.meter.received(kind, done.bytes_in)
-        return done.answer
+        result = await exchange(address, self.hello, request, self.record_fault, timeout)
+        self.meter.sent(kind, result.bytes_out)
+        self.meter.received(kind, result.bytes_in)
+        return result.answer
 
     def answer_pull(self, version: int) -> frames.Frame | None:
         """Return the versions after the given one, or None if the transfer rate is exceeded."""
@@ -348,7 +354,7 @@
         return frames.View(members)
 
     async def reconcile(self, address: str) -> bool:
-        """Send this daemon's record and merge the view returned; return whether there was one."""
+        """Send this daemon's record and merge the received view; return whether one arrived."""
         request = frames.ViewRequest(self.view.me)
         try:
             answer = await self.send_request(address, request, "view")
--- a/hornbeamgw/daemon/directory.py
+++ b/hornbeamgw/daemon/directory.py
@@ -47,15 +47,15 @@
 
 def decode_members(page: RowPage) -> list[Member]:
     """Return the members in a page of rows; invalid rows are logged and skipped."""
-    found = []
+    members = []
     for row in page.rows:
         try:
-            found.append(decode_member(row))
+            members.append(decode_member(row))
         except ValueError as error:
             log.warning(
                 "directory row is invalid; skipping it", extra={"key": row.key, "error": str(error)}
             )
-    return found
+    return members
 
 
 def rows_of_dead_daemons(page: RowPage, members_by_address: dict[str, Member]) -> list[StoredRow]:
@@ -112,7 +112,7 @@
         failures = 0
         while True:
             try:
-                found = await self._read()
+                members = await self._read()
                 break
             except PlatformError as error:
                 failures += 1
@@ -122,16 +122,16 @@
             self.joined.set()
             ceiling = min(BACKOFF_MAX_S, BACKOFF_S * 2**failures)
             await asyncio.sleep(self._rng.uniform(ceiling / 2, ceiling))
-        if not found:
+        if not members:
             self.is_empty = True
             await self._own_row.write()
-            found = await self._read_again()
-        if not found and self._control.node.era:
+            members = await self._read_again()
+        if not members and self._control.node.era:
             # A store restored from a backup may have lost the rows; daemons write them again.
             await asyncio.sleep(REWRITE_MAX_DELAY_S + REWRITE_MARGIN_S)
-            found = await self._read_again()
+            members = await self._read_again()
         self.joined.set()
-        await self._contact_members(found)
+        await self._contact_members(members)
         self.view_received.set()
 
     async def _read(self) -> list[Member]:
@@ -153,11 +153,13 @@
             log.warning("directory read failed", extra={"error": str(error)})
             return []
 
-    async def _contact_members(self, found: list[Member]) -> None:
+    async def _contact_members(self, members: list[Member]) -> None:
         known = self._control.view.members_by_address
-        records = found if self._is_first_start else list(map(membership.without_servers, found))
+        records = (
+            members if self._is_first_start else list(map(membership.without_servers, members))
+        )
         self._control.add_discovered([m for m in records if m.address not in known])
-        others = self._rng.sample(found, min(MAX_JOIN_PEERS, len(found)))
+        others = self._rng.sample(members, min(MAX_JOIN_PEERS, len(members)))
         if self._is_first_start:
             others = others[:1]
         await asyncio.gather(*(self._control.reconcile(m.address) for m in others))
--- a/hornbeamgw/daemon/end_watch.py
+++ b/hornbeamgw/daemon/end_watch.py
@@ -13,7 +13,7 @@
 
 from hornbeamgw.daemon.backend_pool import BackendPool
 
-# Time for the event loop to report the other connections that the process had open.
+# Time for the event loop to report the loss of the other connections to the crashed process.
 CRASH_SETTLE_S = 0.01
 # Abandoned requests count as running for this long, because a server does not necessarily stop a
 # request as soon as its connection is closed.
@@ -58,8 +58,8 @@
         self._has_crashed = True
         oldest = asyncio.get_running_loop().time() - LOST_RETENTION_S
         # The latest losses come first, because a crash report is limited in size.
-        ran = dict.fromkeys(
+        fingerprints = dict.fromkeys(
             fingerprint for lost_at, fingerprint in reversed(self._lost) if lost_at >= oldest
         )
         self._lost.clear()
-        self._on_crash(tuple(ran))
+        self._on_crash(tuple(fingerprints))
--- a/hornbeamgw/daemon/failures.py
+++ b/hornbeamgw/daemon/failures.py
@@ -37,7 +37,10 @@
 def send_failure(
     connection: HttpConnection, failure: Failure, call_id: str, dialect: Dialect, close: bool
 ) -> None:
-    """Send a failure with its verdict, reason and retry delay; raise ConnectionLost."""
+    """Send a failure with its verdict, reason and retry delay.
+
+    Raise ConnectionLost if the caller is gone.
+    """
     headers: Headers = [
         (b"content-type", b"application/json"),
         (heads.VERDICT, failure.verdict.encode()),
--- a/hornbeamgw/daemon/flow.py
+++ b/hornbeamgw/daemon/flow.py
@@ -65,7 +65,7 @@
 
 
 class Urgency:
-    """The loop time (s) since which a body has priority over others; infinite if it has none."""
+    """The loop time in seconds since which a body has priority over others, or infinity."""
 
     def __init__(self) -> None:
         """Create the urgency of a body without priority."""
--- a/hornbeamgw/daemon/frames.py
+++ b/hornbeamgw/daemon/frames.py
@@ -80,7 +80,7 @@
 
 
 class Body(NamedTuple):
-    """Further part of a body; `leaving` asks the peer to accept the rest soon."""
+    """Further part of a body; `leaving` tells the peer that the sender is stopping."""
 
     attempt: int
     data: bytes
@@ -135,7 +135,10 @@
 
 
 class Question(NamedTuple):
-    """Query for the outcome of an attempt whose link was lost; answered by a Resolution."""
+    """Query for the outcome of an attempt whose link was lost; answered by a Resolution.
+
+    `age_ms` is the time since the attempt started.
+    """
 
     attempt: int
     age_ms: int
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -41,13 +41,14 @@
 RETRY_AFTER_NOT_READY_MS = 20
 # An answer that has begun may be completed after the deadline, for at most this long.
 ANSWER_MAX_S = 10.0
-# Attempt id in requests for an outlook from this daemon itself, which have no link.
+# Attempt id for outlook requests of this daemon itself, which are not received on a link.
 LOCAL_ATTEMPT_ID = AttemptId("", 0, 0)
-# Member of a quarantine that publishes nothing.
+# Placeholder for the member record of a quarantine that publishes nothing.
 NO_MEMBER = Member("", "", "", 0)
-# A request that must not run beside other suspects is retried after about one short request.
+# Retry delay of a request that must not run concurrently with another crash suspect, about the
+# duration of a short request.
 RETRY_AFTER_ISOLATION_MS = 20
-# A server that is about to be replaced refuses requests; another server can take them at once.
+# Short, since another server can accept a request that a server refuses before its replacement.
 RETRY_AFTER_CLOSED_MS = 20
 
 
@@ -81,10 +82,11 @@
         quarantine : Quarantine, optional
             Knows the fingerprints of requests that are not to run.
         exposure_state : ExposureState, optional
-            Knows from rollouts whether servers of a version are closed. Without it, none are.
+            Knows whether a rollout has closed the servers of a version to non-idempotent requests.
+            By default, none are closed.
         """
         self._exposure_state = exposure_state or ExposureState(ExposureBound(0.0, 0.0))
-        self.quarantine = quarantine or Quarantine(NO_MEMBER, lambda *told: None)
+        self.quarantine = quarantine or Quarantine(NO_MEMBER, lambda *args: None)
         self.state = AdmissionState(policy)
         self.announcement: Announcement | None = None
         self._last_run: Announcement | None = None
@@ -135,9 +137,9 @@
             self._on_server_change()
 
     def _forget_run(self, why: str, is_over: bool) -> None:
-        """Discard the state of a run of the server; if it is over, also fail its attempts."""
+        """Discard the state of the previous server process; fail its attempts if it has ended."""
         log.info(
-            "backend server restarted; discarding the state of its previous run",
+            "another backend server process announced; discarding the state of the previous one",
             extra={"why": why, "is_over": is_over},
         )
         self.exchange.forget_run()
@@ -172,7 +174,7 @@
     def stop(self) -> None:
         """Drain permanently because the daemon stops."""
         self._stopping = True
-        self.exchange.is_leaving = True
+        self.exchange.is_daemon_stopping = True
         for attempt in self._attempts.values():
             if attempt.outgoing is not None:
                 attempt.outgoing.expedite()
@@ -246,8 +248,8 @@
                 attempt.outgoing.stop()
 
     def _limits(self, entry: str) -> Limits | None:
-        found = self._snapshot().entries_by_name.get(entry)
-        return None if found is None else found.limits
+        known_entry = self._snapshot().entries_by_name.get(entry)
+        return None if known_entry is None else known_entry.limits
 
     def _refresh_reserved(self) -> None:
         snapshot, service = self._snapshot(), self.state.service
@@ -260,7 +262,7 @@
             for routes in routes_by_prefix.values()
             for route in routes
             if route.entry.limits.reserved
-            and any(part.service == service for part in route.destinations)
+            and any(destination.service == service for destination in route.destinations)
         }
 
     def _on_call(self, link: Link, call: frames.Call) -> None:
@@ -391,7 +393,7 @@
             self.idle.set()
 
     def retry_ratio(self) -> float:
-        """Return the ratio of running requests whose call reached a server before."""
+        """Return the ratio of running requests whose call has reached a server before."""
         running = self.state.running_by_attempt
         if not running:
             return 0.0
@@ -436,8 +438,8 @@
         This is a callback because a task that is cancelled before its first step runs no code.
         """
         if task.cancelled():
-            gone = may_have_run(Reason.CALLER_GONE, "cancelled while it ran")
-            failure: Failure | None = attempt.stop_failure or gone
+            default_failure = may_have_run(Reason.CALLER_GONE, "cancelled while it ran")
+            failure: Failure | None = attempt.stop_failure or default_failure
         else:
             failure = task.result()
         now = asyncio.get_running_loop().time()
@@ -462,8 +464,9 @@
         return exposure.closed_step(self._exposure_state, announced.service, announced.software) > 0
 
     def tally(self, number: int, announced: Announcement) -> Tally:
-        """Return the counts of answers by route, and how many requests prevent a safe stop.
+        """Return the answer counts by route, and the number of requests that prevent a safe stop.
 
+        Those are unfinished non-idempotent requests, counted if a rollout has closed the server.
         `number` is the server's number and `announced` its announcement.
         """
         closed = exposure.closed_step(self._exposure_state, announced.service, announced.software)
@@ -521,7 +524,7 @@
         self.counts["server_ended"] += 1
         ran = [as_text(fingerprint) for fingerprint in fingerprints]
         log.warning(
-            "backend server crashed; reporting the requests that were running",
+            "backend server lost a connection and refuses new ones; treating it as crashed",
             extra={"instance": run.instance, "ran": ran},
         )
         self.quarantine.record_crash(fingerprints)
@@ -530,7 +533,7 @@
         self.counts["stalled_answers"] += 1
         failure = may_have_run(Reason.DEADLINE, "the caller's daemon took no more of the answer")
         log.warning(
-            "answer stalled; the caller's daemon did not accept the rest in time",
+            "answer was not sent completely in time; discarding the rest",
             extra={"call_id": attempt.call.call_id},
         )
         self._send_failure(attempt, failure)
--- a/hornbeamgw/daemon/gate_attempt.py
+++ b/hornbeamgw/daemon/gate_attempt.py
@@ -30,7 +30,7 @@
         Received parts of the request body.
     task : asyncio.Task or None
         Exchange with the backend server; None while the attempt is queued.
-    outgoing : Outgoing or None
+    outgoing : OutgoingAnswer or None
         Sends the part of the answer that follows the reply frame.
     limit : asyncio.Timeout or None
         Timeout of the exchange.
@@ -38,7 +38,7 @@
         Failure to report if the task is cancelled, instead of CALLER_GONE.
     arrived_at, started_at, answered_at : float
         Loop times in seconds of the arrival, of the start at the server, and of the answer's head
-        (0 before).
+        (0 until it has arrived).
     is_counted : bool
         Whether the outcome was counted already because the answer is overdue.
     is_answer_dropped : bool
--- a/hornbeamgw/daemon/gates.py
+++ b/hornbeamgw/daemon/gates.py
@@ -88,8 +88,8 @@
         gate = self._gates_by_number.get(number)
         if gate is not None:
             return gate
-        living = [gate for gate in self.all if gate.announcement is not None]
-        if len(living) >= MAX_SERVERS:
+        registered = [gate for gate in self.all if gate.announcement is not None]
+        if len(registered) >= MAX_SERVERS:
             raise ValueError(f"server {number!r}, expected {MAX_SERVERS} beside a daemon at most")
         gate, self._unassigned = self._unassigned or self._open(), None
         gate.stop_plan = self._stop_plan
--- a/hornbeamgw/daemon/heads.py
+++ b/hornbeamgw/daemon/heads.py
@@ -36,7 +36,7 @@
 
 
 def decode_request(blob: bytes) -> RequestHead:
-    """Decode the head of a request; raise msgspec.MsgspecError."""
+    """Decode the head of a request; raise msgspec.MsgspecError if it is invalid."""
     return _request_decoder.decode(blob)
 
 
@@ -46,5 +46,5 @@
 
 
 def decode_headers(blob: bytes) -> Headers:
-    """Decode the headers of a response; raise msgspec.MsgspecError."""
+    """Decode the headers of a response; raise msgspec.MsgspecError if they are invalid."""
     return _headers_decoder.decode(blob)
--- a/hornbeamgw/daemon/http1.py
+++ b/hornbeamgw/daemon/http1.py
@@ -126,7 +126,10 @@
             self._input_waiter.set_result(None)
 
     def poll(self) -> Event | None:
-        """Return the next event, or None if more input is needed; raise h11.RemoteProtocolError."""
+        """Return the next event, or None if more input is needed.
+
+        Raise h11.RemoteProtocolError if the received bytes are invalid.
+        """
         event = self.http.next_event()
         if event is h11.NEED_DATA:
             self._unread_bytes = 0
@@ -137,7 +140,11 @@
         return event  # type: ignore[return-value]
 
     async def next_event(self) -> Event:
-        """Wait for the next event; raise ConnectionLost or h11.RemoteProtocolError."""
+        """Wait for the next event.
+
+        Raise ConnectionLost if the connection is lost, or h11.RemoteProtocolError if the received
+        bytes are invalid.
+        """
         while True:
             event = self.poll()
             if event is not None:
@@ -145,7 +152,7 @@
             await self.wait_input()
 
     async def wait_input(self) -> None:
-        """Wait for input; raise ConnectionLost."""
+        """Wait for input; raise ConnectionLost if the connection is lost."""
         if self.lost:
             raise ConnectionLost
         self._input_waiter = asyncio.get_running_loop().create_future()
@@ -167,13 +174,13 @@
         return bool(self.http.trailing_data[0])
 
     def send(self, *events: h11.Event) -> None:
-        """Send events with a single write; raise ConnectionLost."""
+        """Send events with a single write; raise ConnectionLost if the connection is lost."""
         if self.lost or self.transport is None or self.transport.is_closing():
             raise ConnectionLost
         self.transport.write(b"".join(self.http.send(event) or b"" for event in events))
 
     async def drain(self) -> None:
-        """Wait until the write buffer has room; raise ConnectionLost."""
+        """Wait until the write buffer has room; raise ConnectionLost if the connection is lost."""
         if self._writable is not None:
             await self._writable
         if self.lost:
--- a/hornbeamgw/daemon/http_server.py
+++ b/hornbeamgw/daemon/http_server.py
@@ -48,7 +48,7 @@
 def send_response(
     connection: HttpConnection, status: int, headers: Headers, body: bytes, close: bool = False
 ) -> None:
-    """Send a complete response; raise ConnectionLost."""
+    """Send a complete response; raise ConnectionLost if the connection is lost."""
     framed_headers = [*headers, (b"content-length", str(len(body)).encode())]
     if close:
         framed_headers.append((b"connection", b"close"))
@@ -127,7 +127,7 @@
 async def run_connection(
     connection: HttpConnection, on_request: OnRequest, timeouts: Timeouts
 ) -> None:
-    """Handle requests until either side closes; refuse a malformed one and close."""
+    """Handle requests until either side closes; refuse a malformed request and then close."""
     try:
         while True:
             request = await _next_request(connection, timeouts)
@@ -150,7 +150,7 @@
     except (ConnectionLost, TimeoutError, h11.LocalProtocolError):
         pass
     except Exception:
-        log.exception("request failed")
+        log.exception("request handler failed; aborting the connection")
         connection.abort()
     finally:
         connection.close()
@@ -168,7 +168,7 @@
         self._unsent: set[HttpConnection] = set()
 
     async def start(self, address: str) -> str:
-        """Start to listen and return the bound address; raise OSError."""
+        """Start to listen and return the bound address; raise OSError on failure."""
         host, port = split_address(address)
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -214,6 +214,6 @@
 
 
 def json_response(connection: HttpConnection, status: int, value: Any) -> None:
-    """Send a response with a JSON body; raise ConnectionLost."""
+    """Send a response with a JSON body; raise ConnectionLost if the connection is lost."""
     body = msgspec.json.encode(value)
     send_response(connection, status, [(b"content-type", b"application/json")], body)
--- a/hornbeamgw/daemon/link.py
+++ b/hornbeamgw/daemon/link.py
@@ -41,7 +41,7 @@
         on_lost: Callable[[Link], None],
         on_fault: Callable[[str], None],
     ) -> None:
-        """Initialise with the own hello and callbacks for frames, link loss and protocol errors."""
+        """Initialise with the own hello and callbacks for frames, loss of the link, and faults."""
         self.hello = hello
         self.peer: frames.Hello | None = None
         self.hello_received: asyncio.Future[frames.Hello] = (
@@ -57,7 +57,8 @@
         self._on_lost = on_lost
         self._on_fault = on_fault
         self._buffer = bytearray()
-        self.crossed: Counter[str] = Counter()
+        # Bytes sent to another data centre, by kind of frame, and by head and body.
+        self.remote_byte_counts: Counter[str] = Counter()
         # Set when the hello of a peer in another data centre arrives. Only the own hello is sent
         # before that.
         self._compressor: Compressor | None = None
@@ -81,19 +82,19 @@
             codec.encode_frame(frame_without_body)[codec.LENGTH_PREFIX_BYTES :]
         )
         kind = type(frame).__name__.lower()
-        self.crossed[f"{kind}.head"] += codec.LENGTH_PREFIX_BYTES + len(head)
-        self.crossed[f"{kind}.body"] += len(body)
+        self.remote_byte_counts[f"{kind}.head"] += codec.LENGTH_PREFIX_BYTES + len(head)
+        self.remote_byte_counts[f"{kind}.body"] += len(body)
         self._write(codec.add_length_prefix(head + body))
 
     def send_encoded(self, payload: bytes) -> None:
-        """Send an encoded frame, as used to send one frame to several links; drop it if lost."""
+        """Send an encoded frame, which several links may share; drop it if the link is lost."""
         if self.transport is None or self.lost:
             return
         if self._compressor is not None:
             payload = codec.add_length_prefix(
                 self._compressor.compress(payload[codec.LENGTH_PREFIX_BYTES :])
             )
-            self.crossed["question.head"] += len(payload)
+            self.remote_byte_counts["question.head"] += len(payload)
         self._write(payload)
 
     def _write(self, payload: bytes) -> None:
@@ -212,7 +213,10 @@
     on_fault: Callable[[str], None],
     timeout: float,
 ) -> Link:
-    """Open a link and wait for the peer's hello, for up to `timeout` seconds; raise LinkLost."""
+    """Open a link and wait for the peer's hello; raise LinkLost on an error or a timeout.
+
+    `timeout` is in seconds.
+    """
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
     try:
@@ -248,7 +252,10 @@
     on_fault: Callable[[str], None],
     timeout: float,
 ) -> ExchangeResult:
-    """Send a request on a new link and wait for the answer; raise LinkLost."""
+    """Send a request on a new link and wait for the answer; raise LinkLost if none arrives.
+
+    `timeout` in seconds applies to the opening of the link and again to the wait for the answer.
+    """
     loop = asyncio.get_running_loop()
     answer: asyncio.Future[frames.Frame] = loop.create_future()
 
--- a/hornbeamgw/daemon/main.py
+++ b/hornbeamgw/daemon/main.py
@@ -122,8 +122,10 @@
                 self.rollouts.state,
             )
         )
-        crossed = self.control.meter.crossed
-        self.links = Links(lambda: self.control.hello, self.control.record_fault, crossed)
+        remote_byte_counts = self.control.meter.remote_byte_counts
+        self.links = Links(
+            lambda: self.control.hello, self.control.record_fault, remote_byte_counts
+        )
         choose = balancing.chooser_of(settings.calls_balancing)
         exposed = self.rollouts.state
         servers = Servers(self.links, choose, rng, self.gates.local_outlook, exposed)
--- a/hornbeamgw/daemon/meter.py
+++ b/hornbeamgw/daemon/meter.py
@@ -6,7 +6,15 @@
 
 
 class Meter:
-    """Counters of the control traffic of this daemon, by message kind."""
+    """Counters of the control traffic of this daemon, by message kind.
+
+    Attributes
+    ----------
+    faults : Counter
+        Communication faults, by kind.
+    remote_byte_counts : Counter
+        Bytes sent to other data centres, by kind of frame, and by head and body.
+    """
 
     def __init__(self) -> None:
         """Create counters that are all zero."""
@@ -15,7 +23,7 @@
         self.messages_in: Counter[str] = Counter()
         self.messages_out: Counter[str] = Counter()
         self.faults: Counter[str] = Counter()
-        self.crossed: Counter[str] = Counter()
+        self.remote_byte_counts: Counter[str] = Counter()
 
     def sent(self, kind: str, size: int) -> None:
         """Count a sent message of `size` bytes."""
--- a/hornbeamgw/daemon/outgoing.py
+++ b/hornbeamgw/daemon/outgoing.py
@@ -37,7 +37,7 @@
         on_stalled: Callable[[], None],
         urgency: Urgency,
     ) -> None:
-        """Start sending on `link`; call `on_stalled` if it is not complete at `give_up_at` (s)."""
+        """Start sending on `link`; call `on_stalled` if incomplete at loop time `give_up_at`."""
         self.window = Window(pacer.window_bytes)
         self.progress = Progress(asyncio.get_running_loop().time())
         self._link = link
--- a/hornbeamgw/daemon/outlooks.py
+++ b/hornbeamgw/daemon/outlooks.py
@@ -14,7 +14,7 @@
 # Covers a round trip between data centres and the answer of a busy daemon. Servers of daemons that
 # are slower than this are not worth waiting for.
 QUERY_TIMEOUT_S = 0.008
-# If no daemon has answered by then, additional time to wait for the first answer.
+# Additional time to wait for a first answer if none has arrived within QUERY_TIMEOUT_S.
 FIRST_ANSWER_TIMEOUT_S = 0.03
 # Slowness of a server, relative to the average of its service, up to which it is chosen at once
 # without waiting for further answers.
@@ -22,34 +22,34 @@
 
 
 class QueryResult(NamedTuple):
-    """Hold the servers that would accept a request, and those that would refuse it.
+    """Servers that would accept a request, and servers that would refuse it.
 
     `retry_after_ms` is the shortest delay after which a refusing server expects to accept it, or 0.
     """
 
-    takers: Sequence[Candidate]
-    refusers: Sequence[Candidate]
+    accepting: Sequence[Candidate]
+    refusing: Sequence[Candidate]
     retry_after_ms: int
 
 
 class _Query:
     def __init__(self, candidates_by_link: Mapping[Link, Candidate]) -> None:
         self.candidates_by_link = dict(candidates_by_link)
-        self.takers: list[Candidate] = []
-        self.refusers: list[Candidate] = []
+        self.accepting: list[Candidate] = []
+        self.refusing: list[Candidate] = []
         self.retry_after_ms = 0
-        self.first_completes = False
+        self.completes_on_first_answer = False
         self.completed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def add(self, candidate: Candidate, outlook: frames.Outlook) -> None:
         """Record an answer; complete the query if no better one is expected."""
         if outlook.takes:
-            self.takers.append(candidate)
+            self.accepting.append(candidate)
         else:
-            self.refusers.append(candidate)
+            self.refusing.append(candidate)
             known, new = self.retry_after_ms, outlook.retry_after_ms
             self.retry_after_ms = min(known or new, new)
-        is_enough = self.first_completes or is_good_enough(candidate, outlook)
+        is_enough = self.completes_on_first_answer or is_good_enough(candidate, outlook)
         if (is_enough or not self.candidates_by_link) and not self.completed.done():
             self.completed.set_result(None)
 
@@ -88,12 +88,12 @@
             link.send_encoded(payloads_by_server[server])
         try:
             await asyncio.wait([query.completed], timeout=QUERY_TIMEOUT_S)
-            if not query.takers and not query.refusers:
-                query.first_completes = True
+            if not query.accepting and not query.refusing:
+                query.completes_on_first_answer = True
                 await asyncio.wait([query.completed], timeout=FIRST_ANSWER_TIMEOUT_S)
         finally:
             del self._queries_by_number[number]
-        return QueryResult(query.takers, query.refusers, query.retry_after_ms)
+        return QueryResult(query.accepting, query.refusing, query.retry_after_ms)
 
     def on_outlook(self, link: Link, outlook: frames.Outlook, now: float) -> None:
         """Process an answer; ignore it if its query is complete."""
--- a/hornbeamgw/daemon/peers.py
+++ b/hornbeamgw/daemon/peers.py
@@ -26,14 +26,14 @@
         self.links: set[Link] = set()
 
     async def start(self, address: str) -> None:
-        """Start to listen; raise OSError."""
+        """Start to listen; raise OSError on failure."""
         host, port = split_address(address)
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._accept, host, port, backlog=1024)
 
     def _accept(self) -> Link:
         link = Link(self._control.hello, self._on_frame, self._on_lost, self._control.record_fault)
-        link.crossed = self._control.meter.crossed
+        link.remote_byte_counts = self._control.meter.remote_byte_counts
         self.links.add(link)
         return link
 
@@ -66,10 +66,10 @@
     async def wait_until_read(self) -> None:
         """Wait until all peers have read the frames sent to them, or are lost."""
         loop = asyncio.get_running_loop()
-        asked = list(self.links)
-        for link in asked:
+        open_links = list(self.links)
+        for link in open_links:
             link.request_ack()
-        while any(link.is_ack_pending(loop.time()) for link in asked):
+        while any(link.is_ack_pending(loop.time()) for link in open_links):
             await asyncio.sleep(ACK_POLL_INTERVAL_S)
 
     def abort(self) -> None:
--- a/hornbeamgw/daemon/progress.py
+++ b/hornbeamgw/daemon/progress.py
@@ -10,7 +10,7 @@
 
 
 class WaitsFor(enum.StrEnum):
-    """Enumerate what an answer can wait for."""
+    """What the unsent remainder of an answer waits for."""
 
     SERVER = "server"
     OTHER_DAEMON = "other_daemon"
--- a/hornbeamgw/daemon/quarantine.py
+++ b/hornbeamgw/daemon/quarantine.py
@@ -59,9 +59,11 @@
         now = asyncio.get_running_loop().time()
         self._apply(quarantine.record_answer(self.state, fingerprint, now))
 
-    def record_crash(self, ran: Sequence[int]) -> None:
+    def record_crash(self, fingerprints: Sequence[int]) -> None:
         """Record a crash of the local backend server and the requests that were running."""
-        self._apply(quarantine.record_crash(self.state, ran, asyncio.get_running_loop().time()))
+        self._apply(
+            quarantine.record_crash(self.state, fingerprints, asyncio.get_running_loop().time())
+        )
 
     def forget_run(self) -> None:
         """Discard the answered requests when a new server process starts."""
--- a/hornbeamgw/daemon/reader.py
+++ b/hornbeamgw/daemon/reader.py
@@ -1,4 +1,7 @@
-"""Reads of the platform: follow new versions for the data centre and determine the floor."""
+"""Reads of the platform: follow new versions, and determine the floor.
+
+The floor is the lowest catalogue version that a daemon may apply after its start.
+"""
 
 from __future__ import annotations
 
@@ -37,8 +40,8 @@
 LONG_WATCH_TIMEOUT_S = 6.0
 SHORT_WATCH_READERS = 3
 READER_CHECK_INTERVAL_S = 0.25
-# Each daemon sends and receives about one probe per second. One that has received no message for
-# this time may be partitioned from its readers, so it reads the platform itself.
+# Each daemon sends and receives about one probe per second. A daemon that has received no message
+# for this time may be partitioned from its readers, so it reads the platform itself.
 MAX_SILENCE_S = 1.2
 # Time after which a reader pushes a version itself because the push of another reader has not
 # arrived. A push reaches 950 daemons in six hops of about 30 ms.
@@ -57,7 +60,7 @@
 MAX_FLOOR_PEERS = 5
 # Maximum time to wait for the fleet's membership view. Daemons that have ended don't answer.
 VIEW_TIMEOUT_S = 0.5
-# The same if the directory had no rows: after a restore, daemons write theirs again.
+# Used instead if the directory had no rows: after a restore, daemons write their rows again.
 EMPTY_DIRECTORY_VIEW_TIMEOUT_S = 2.0
 FLOOR_REQUEST_TIMEOUT_S = 0.4
 
@@ -177,12 +180,12 @@
         return MIN_TOTAL_READERS if self._source.is_whole else 0
 
     def _alive_members(self) -> list[Member]:
-        """Return the members that are not suspected, as another one replaces a suspected reader."""
+        """Return the alive members; a reader that is suspected is replaced by another member."""
         members = self._control.view.members_by_address.values()
         return [member for member in members if member.status is Status.ALIVE]
 
     def _announce_era(self) -> None:
-        """Announce a new era to all daemons, if this daemon is among its pushers."""
+        """Announce a new era to all daemons, if this daemon is selected for it."""
         members, era = self._alive_members(), self._control.node.era or 0
         if is_pusher(self._control.view.me, members, era, self._min_total_readers()):
             self._control.announce_everywhere()
@@ -194,8 +197,8 @@
             all_readers(self._alive_members(), self._min_total_readers()),
             SHORT_WATCH_READERS,
         )
-        is_ranked = any(reader.address == self._control.view.me.address for reader in readers)
-        return is_ranked or self.needs_short_watch()
+        is_selected = any(reader.address == self._control.view.me.address for reader in readers)
+        return is_selected or self.needs_short_watch()
 
     def leaders(self, service: str) -> list[Member]:
         """Return the readers that lead a rollout of a service, in order of rank."""
@@ -370,8 +373,8 @@
         """Set the floor to the newest version of a sample of peers.
 
         Used if an external source is unavailable. A daemon must not revert to a version older
-        than one that it has applied. One that has just started has applied none, and connected
-        peers lag by seconds at most.
+        than one that it has applied. A daemon that has just started has applied none, and connected
+        peers are at most a few seconds behind.
         """
         sampled = self._rng.sample(peers, min(MAX_FLOOR_PEERS, len(peers)))
         request = frames.FloorRequest(self._control.view.me.address)
--- a/hornbeamgw/daemon/server_answer.py
+++ b/hornbeamgw/daemon/server_answer.py
@@ -21,7 +21,7 @@
 
 
 class ReceivedHead(NamedTuple):
-    """Hold the head of an answer, and the number of answers to other requests skipped before it."""
+    """Head of an answer, and the number of answers to other requests skipped before it."""
 
     response: h11.Response
     skipped: int
@@ -103,7 +103,10 @@
 
 
 def read_available(connection: HttpConnection) -> tuple[bytes, bool]:
-    """Return the received part of a body and whether it is complete; raise ConnectionLost."""
+    """Return the received part of a body and whether it is complete.
+
+    Raise ConnectionLost if the server closed the connection before the end of the body.
+    """
     chunks: list[bytes] = []
     while True:
         event = connection.poll()
@@ -118,7 +121,10 @@
 
 
 async def read_part(connection: HttpConnection) -> tuple[bytes, bool]:
-    """Wait for the next part of a body; return it and whether the body is complete."""
+    """Wait for the next part of a body; return it and whether the body is complete.
+
+    Raise ConnectionLost if the server closed the connection before the end of the body.
+    """
     event = await connection.next_event()
     if isinstance(event, h11.Data):
         return bytes(event.data), False
--- a/hornbeamgw/daemon/server_exchange.py
+++ b/hornbeamgw/daemon/server_exchange.py
@@ -49,15 +49,15 @@
     ) -> None:
         """Create an exchange without a backend server.
 
-        Answers report the load in `state`. `on_stalled` is called if another daemon does not accept
-        an answer in time, `on_crash` with the fingerprints of the requests that were running when
+        Answers report the load in `state`. `on_stalled` is called if an answer is not sent
+        completely in time, `on_crash` with the fingerprints of the requests that were running when
         the backend server crashed.
         """
         self.pool = BackendPool()
         self.crash_detector = CrashDetector(self.pool, on_crash)
         self.breaker = BreakerState()
         self.instance = ""
-        self.is_leaving = False
+        self.is_daemon_stopping = False
         self.on_replaced: Callable[[str], None] = lambda instance: None
         self._state = state
         self._dialect = dialect
@@ -89,7 +89,7 @@
         return stopping.may_send(stop, transfer, asyncio.get_running_loop().time())
 
     def load(self) -> tuple[int, int]:
-        """Return the number of free slots and the expected wait of a new request (ms)."""
+        """Return the number of free slots and the expected wait of a new request in ms."""
         now = asyncio.get_running_loop().time()
         wait = admission.expected_wait(self._state, now)
         return admission.free_slots(self._state), min(MAX_REPORTED_WAIT_MS, round(wait * 1000))
@@ -214,6 +214,6 @@
         attempt.outgoing = OutgoingAnswer(
             link, number, pacer, limit, lambda: self._on_stalled(attempt), attempt.urgency
         )
-        if self.is_leaving:
+        if self.is_daemon_stopping:
             attempt.outgoing.expedite()
         return attempt.outgoing
--- a/hornbeamgw/daemon/servers.py
+++ b/hornbeamgw/daemon/servers.py
@@ -24,11 +24,11 @@
 # Servers that are queried one after another before a large body is sent. Each query takes a round
 # trip. Equal to the number of refusals after which a call fails (`calls.MAX_REFUSALS`).
 MAX_SEQUENTIAL_QUERIES = 3
-# Interval for checking whether servers with a new version may be used: when the rollout of the
-# version is known, or after a second.
+# Servers with a new version may be used once its rollout is known, or after a second. Until then,
+# this is checked at this interval.
 NEW_VERSION_RECHECK_S = 0.2
-# During a rollout a request may have to wait until stopping servers have been replaced. It checks
-# this at an interval, and stops waiting when a ratio of its remaining time is left.
+# During a rollout, a request may have to wait until stopping servers have been replaced. It polls
+# at this interval, and stops waiting when this ratio of the time until its deadline is left.
 REPLACEMENT_POLL_S = 0.02
 TIME_RESERVED_RATIO = 0.3
 
@@ -88,8 +88,8 @@
             self._candidates_by_arm.clear()
         candidates = self._candidates_by_arm.get((service, arm))
         if candidates is None:
-            found = self._arm_members(view, service, now, arm)
-            subset = subsetting.server_subset(view.me, found)
+            arm_members = self._arm_members(view, service, now, arm)
+            subset = subsetting.server_subset(view.me, arm_members)
             candidates = [candidate_of(member, self._load(member, now)) for member in subset]
             if arm is not Arm.TURN:
                 self._candidates_by_arm[service, arm] = candidates
@@ -104,15 +104,15 @@
                 self._exposure_state, service, {m.software for m in serving}, now
             )
         if arm is Arm.BEFORE:
-            found = exposure.servers_in_use(self._exposure_state, service, serving, now)
-            if len(found) < len(serving):
+            usable = exposure.servers_in_use(self._exposure_state, service, serving, now)
+            if len(usable) < len(serving):
                 self._cached_until = now + NEW_VERSION_RECHECK_S
-            return found
-        found = exposure.new_servers(self._exposure_state, service, serving)
+            return usable
+        usable = exposure.new_servers(self._exposure_state, service, serving)
         if arm is Arm.TURN:
             current = self._exposure_state.current_by_service[service]
-            return exposure.servers_on_turn(found, exposure.turn_seconds(current), time.time())
-        return found
+            return exposure.servers_on_turn(usable, exposure.turn_seconds(current), time.time())
+        return usable
 
     def _load(self, member: Member, now: float) -> Load:
         """Return the load of a server; the load is reset when its process has been restarted."""
@@ -135,10 +135,10 @@
     def _arm_of(self, call: Call, has_waited: bool = False) -> Arm:
         if not self._exposure_state.current_by_service:
             return Arm.BEFORE
-        length = self.traits_of(call).service
+        service_time = self.traits_of(call).service
         idempotent = call.route.idempotent
         traits = exposure.RequestTraits(
-            call.service, length, not call.placed, idempotent, has_waited
+            call.service, service_time, not call.placed, idempotent, has_waited
         )
         return exposure.select_arm(self._exposure_state, traits, time.time(), self._rng)
 
@@ -170,23 +170,23 @@
         own = self._query_own(call, choice)
         if own is not None:
             return own
-        found = self._best_taker(call, choice)
+        best = self._best_accepting(call, choice)
         while call.sampling_rounds_left and not (
-            found and sampling.is_short(found.load.wait, call.latency_objective)
+            best and sampling.is_short(best.load.wait, call.latency_objective)
         ):
             is_first = call.sampling_rounds_left == sampling.MAX_ROUNDS
-            is_near = is_first or not crossing.is_remote_better(choice, found)
+            is_near = is_first or not crossing.is_remote_better(choice, best)
             call.sampling_rounds_left -= 1
             sampled = sampling.sample(choice, is_near, self._rng)
-            result = await self._query(call, [c for c in sampled if c not in call.takers])
-            call.takers += result.takers
-            call.tried += [c.key for c in result.refusers]
+            result = await self._query(call, [c for c in sampled if c not in call.accepting])
+            call.accepting += result.accepting
+            call.tried += [c.key for c in result.refusing]
             call.retry_after_ms = earliest_retry_ms(call.retry_after_ms, result.retry_after_ms)
             choice = choice._replace(now=asyncio.get_running_loop().time())
-            found = self._best_taker(call, choice)
-        if found is None and not call.retry_after_ms:
+            best = self._best_accepting(call, choice)
+        if best is None and not call.retry_after_ms:
             return self._choose(choice, self._rng)
-        return found
+        return best
 
     async def _choose_by_reports(self, call: Call, choice: Choice) -> Candidate | None:
         """Choose a server by load reports; query a remote one before sending it a large body."""
@@ -197,19 +197,19 @@
             if not crossing.should_ask_first(choice.me, chosen, len(call.body)):
                 return chosen
             result = await self._query(call, [chosen])
-            if not result.refusers:
+            if not result.refusing:
                 return chosen
             call.tried.append(chosen.key)
             call.retry_after_ms = earliest_retry_ms(call.retry_after_ms, result.retry_after_ms)
             choice = choice._replace(now=asyncio.get_running_loop().time())
         return None
 
-    def _best_taker(self, call: Call, choice: Choice) -> Candidate | None:
-        takers = [c for c in call.takers if c.key not in call.tried]
+    def _best_accepting(self, call: Call, choice: Choice) -> Candidate | None:
+        accepting = [c for c in call.accepting if c.key not in call.tried]
         if self._exposure_state.current_by_service:
             usable = {c.key for c in choice.candidates}
-            takers = [c for c in takers if c.key in usable]
-        return sampling.best(choice, takers)
+            accepting = [c for c in accepting if c.key in usable]
+        return sampling.best(choice, accepting)
 
     def _query_own(self, call: Call, choice: Choice) -> Candidate | None:
         """Return this daemon's own server if it is good enough, without using the network.
