--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -38,7 +38,7 @@
                 outcome = fleet.run(requests, seed)
                 shares.append(outcome.in_time.total() / len(requests))
                 for name in by_kind:
-                    share = outcome.in_time[name] / outcome.asked[name]
+                    share = outcome.in_time[name] / outcome.requested[name]
                     by_kind[name] += share / len(SEEDS)
             rounded = {name: round(share, 3) for name, share in by_kind.items()}
             pair = {"queueing": queueing, "placement": chooser}
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -9,55 +9,61 @@
 
 from benchmarks.report import emit, register, say
 from hornbeamgw.core.standing import Phase
-from hornbeamgw.testing.rollout_model import Badness, Load, Outcome, Trouble, play
+from hornbeamgw.testing.rollout_model import (
+    EnvironmentFaults,
+    Outcome,
+    VersionFault,
+    Workload,
+    simulate,
+)
 
 RUNS = int(os.environ.get("RUNS", "200"))
 # Few servers with few requests, some with many, and a large service; two to four routes each.
 LOADS = (
-    Load(10, 4, 6, 60.0, ((0.7, 0.2), (0.3, 0.1))),
-    Load(11, 5, 6, 200.0, ((0.75, 0.06), (0.25, 0.12))),
-    Load(64, 14, 6, 420.0, ((0.6, 0.16), (0.3, 0.04), (0.1, 0.2))),
-    Load(64, 29, 6, 700.0, ((0.65, 0.04), (0.1, 0.13), (0.25, 0.64))),
+    Workload(10, 4, 6, 60.0, ((0.7, 0.2), (0.3, 0.1))),
+    Workload(11, 5, 6, 200.0, ((0.75, 0.06), (0.25, 0.12))),
+    Workload(64, 14, 6, 420.0, ((0.6, 0.16), (0.3, 0.04), (0.1, 0.2))),
+    Workload(64, 29, 6, 700.0, ((0.65, 0.04), (0.1, 0.13), (0.25, 0.64))),
 )
 # Requests that may not be repeated and of which a few are long, alone and beside others.
 TAIL_LOADS = (
-    Load(10, 6, 6, 60.0, ((0.6, 0.25), (0.4, 0.1)), (0,), 0.03),
-    Load(64, 21, 6, 200.0, ((1.0, 0.25),), (0,), 0.03),
-    Load(64, 21, 6, 300.0, ((0.5, 0.25), (0.5, 0.1)), (0,), 0.03),
-    Load(64, 14, 6, 200.0, ((0.3, 0.25), (0.7, 0.16)), (0,), 0.03),
+    Workload(10, 6, 6, 60.0, ((0.6, 0.25), (0.4, 0.1)), (0,), 0.03),
+    Workload(64, 21, 6, 200.0, ((1.0, 0.25),), (0,), 0.03),
+    Workload(64, 21, 6, 300.0, ((0.5, 0.25), (0.5, 0.1)), (0,), 0.03),
+    Workload(64, 14, 6, 200.0, ((0.3, 0.25), (0.7, 0.16)), (0,), 0.03),
 )
 TROUBLES = {
-    "none": Trouble(),
-    "faulty servers": Trouble(faulty_share=0.15),
-    "burst": Trouble(faulty_share=0.1, burst=1.4),
-    "platform away": Trouble(platform_away=True),
-    "leader ends": Trouble(leader_ends=True),
-    "restarts": Trouble(daemons_restart=0.5),
+    "none": EnvironmentFaults(),
+    "faulty servers": EnvironmentFaults(faulty_server_ratio=0.15),
+    "burst": EnvironmentFaults(faulty_server_ratio=0.1, burst_factor=1.4),
+    "platform away": EnvironmentFaults(has_platform_outage=True),
+    "leader ends": EnvironmentFaults(leader_crashes=True),
+    "restarts": EnvironmentFaults(restarted_daemon_ratio=0.5),
 }
 
 
-def badness_of(name: str, load: Load, rng: random.Random) -> Badness:
+def badness_of(name: str, load: Workload, rng: random.Random) -> VersionFault:
     """Return a version that is bad in a way, drawn anew."""
     share = rng.uniform(0.25, 0.6)
     if name in ("none", "tail"):
-        return Badness()
+        return VersionFault()
     if name == "at once":
-        return Badness(share)
+        return VersionFault(share)
     if name == "slow":
-        return Badness(share, slow_times=rng.uniform(4.0, 8.0))
+        return VersionFault(share, slowdown_factor=rng.uniform(4.0, 8.0))
     if name == "late":
-        return Badness(share, begins=rng.uniform(2.0, 7.0))
+        return VersionFault(share, begins=rng.uniform(2.0, 7.0))
     if name == "under load":
-        return Badness(share, only_above=0.5)
+        return VersionFault(share, min_busy_ratio=0.5)
     if name == "one route":
-        return Badness(max(0.4, share), route=rng.randrange(len(load.routes)))
+        return VersionFault(max(0.4, share), route=rng.randrange(len(load.routes)))
     raise ValueError(f"badness {name!r}")
 
 
 def _emit_unsafe(outcomes: Sequence[Outcome]) -> None:
     """Tell what became of requests that are not idempotent."""
-    cut_off = [outcome.unsafe_cut_off for outcome in outcomes]
-    refused = [outcome.unsafe_refused for outcome in outcomes]
+    cut_off = [outcome.non_idempotent_cut_off for outcome in outcomes]
+    refused = [outcome.non_idempotent_refused for outcome in outcomes]
     waited = [outcome.waited for outcome in outcomes]
     mean = sum(outcome.waited_s for outcome in outcomes) / max(1, sum(waited))
     emit("not idempotent, cut off", "requests", cut_off, all=sum(cut_off))
@@ -85,13 +91,13 @@
             name = sorted(TROUBLES)[seed // len(loads) % len(TROUBLES)]
             badness = badness_of(kind, load, rng)
             duration = rng.uniform(10.0, 20.0)
-            outcome, seen = play(load, badness, TROUBLES[name], duration, seed)
+            outcome, seen = simulate(load, badness, TROUBLES[name], duration, seed)
             is_right = outcome.phase is (Phase.DONE if kind in ("none", "tail") else Phase.BACK)
             in_time = is_right and outcome.decided_at <= duration
             decided["right"] += is_right
             decided["in time"] += in_time
             over += outcome.is_over_bound
-            late_requests += outcome.sent_after_back
+            late_requests += outcome.sent_after_rollback
             cut_off.append(outcome.cut_off)
             unsafe.append(outcome)
             exposed.append(outcome.exposed / (0.1 * outcome.reached + 50))
@@ -99,8 +105,8 @@
             if (
                 not in_time
                 or outcome.is_over_bound
-                or outcome.sent_after_back
-                or outcome.unsafe_cut_off
+                or outcome.sent_after_rollback
+                or outcome.non_idempotent_cut_off
             ):
                 say(
                     f"{kind} {seed} {name} {load.servers} {duration:.1f} {badness} {outcome} {seen}"
--- a/features/steps/crossing.py
+++ b/features/steps/crossing.py
@@ -113,7 +113,7 @@
         for seed, offered in context.loads.items():
             outcome = Mesh(offered, "objective", chooser, seed).run(seconds)
             context.worth[chooser] += outcome.worth(offered.kinds) / len(context.loads)
-            context.moved[chooser] += outcome.crossed_bytes
+            context.moved[chooser] += outcome.cross_dc_bytes
 
 
 @then("the latter earns at least as much less one in twenty-five")
@@ -128,6 +128,6 @@
 
 @then("neither earns more than the bound, one in twenty aside")
 def bounded(context):
-    bounds = [mesh_load.bound(offered) for offered in context.loads.values()]
+    bounds = [mesh_load.max_worth_ratio(offered) for offered in context.loads.values()]
     most = sum(bounds) / len(bounds) + 0.05
     assert max(context.worth.values()) <= most, (context.worth, bounds)
--- a/features/steps/queueing.py
+++ b/features/steps/queueing.py
@@ -9,7 +9,7 @@
 from hornbeamgw.core import admission, service_times
 from hornbeamgw.core.admission import Admitted, AttemptId, Queued, Refused, Request
 from hornbeamgw.testing import simulated
-from hornbeamgw.testing.simulated import WIDE, Fleet, Kind
+from hornbeamgw.testing.simulated import HIGH_LIMITS, Fleet, Kind
 
 DEADLINE_BY_KIND = {"lookup": 0.5, "report": 1.5, "check": 0.2, "work": 1.5}
 DEADLINE_BY_KIND |= {"call": 0.9, "long report": 5.0}
@@ -27,7 +27,7 @@
     request = Request(
         AttemptId("a", 1, context.number),
         "all",
-        WIDE,
+        HIGH_LIMITS,
         now + DEADLINE_BY_KIND[kind],
         kind,
         fields.pop("objective", now + aim),
@@ -180,9 +180,9 @@
 @then("no kind is served less than a quarter as often as all")
 def none_starved(context):
     outcome = context.by_policy["objective"]
-    mean = outcome.served.total() / outcome.asked.total()
-    for kind, count in outcome.asked.items():
-        assert outcome.served[kind] / count >= mean / 4, (outcome.asked, outcome.served)
+    mean = outcome.served.total() / outcome.requested.total()
+    for kind, count in outcome.requested.items():
+        assert outcome.served[kind] / count >= mean / 4, (outcome.requested, outcome.served)
 
 
 @given("urgent calls of {work:d} ms have come {rate:d} times a second for {seconds:d} seconds")
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -24,7 +24,7 @@
 from hornbeamgw.daemon import codec, datagrams, frames
 from hornbeamgw.daemon.gate import Announcement, Gate
 from hornbeamgw.testing.asker import HEAD, Asker
-from hornbeamgw.testing.rollout_model import play
+from hornbeamgw.testing.rollout_model import simulate
 
 SERVICE = "roster"
 OPEN = 0.0  # a time of day at which a trial is open
@@ -523,7 +523,7 @@
         load = LOADS[index % len(LOADS)]
         trouble = TROUBLES[sorted(TROUBLES)[index % len(TROUBLES)]]
         version = badness_of(badness, load, rng)
-        outcome, _ = play(load, version, trouble, rng.uniform(10.0, 20.0), seed + index)
+        outcome, _ = simulate(load, version, trouble, rng.uniform(10.0, 20.0), seed + index)
         context.outcomes.append(outcome)
 
 
@@ -535,7 +535,7 @@
         beside = TROUBLES[trouble or sorted(TROUBLES)[index % len(TROUBLES)]]
         version = badness_of(badness, load, rng)
         duration = rng.uniform(10.0, 20.0)
-        outcome, _ = play(load, version, beside, duration, seed + index)
+        outcome, _ = simulate(load, version, beside, duration, seed + index)
         context.outcomes.append(outcome)
         context.durations.append(duration)
 
@@ -552,7 +552,7 @@
 
 @then("no booking was cut off where the order was completed")
 def none_cut_off(context):
-    cut_off = [outcome.unsafe_cut_off for outcome in context.outcomes]
+    cut_off = [outcome.non_idempotent_cut_off for outcome in context.outcomes]
     assert not any(cut_off), cut_off
 
 
@@ -571,5 +571,5 @@
 
 @then("no bad version got more than its bound")
 def within_bound(context):
-    over = [o for o in context.outcomes if o.is_over_bound or o.sent_after_back]
+    over = [o for o in context.outcomes if o.is_over_bound or o.sent_after_rollback]
     assert not over, over
--- a/features/steps/sampling.py
+++ b/features/steps/sampling.py
@@ -12,7 +12,7 @@
 from hornbeamgw.core.membership import Member
 from hornbeamgw.core.placement import RouteTraits
 from hornbeamgw.testing import simulated
-from hornbeamgw.testing.simulated import WIDE, Fleet, Kind
+from hornbeamgw.testing.simulated import HIGH_LIMITS, Fleet, Kind
 
 LOOKUP = Kind("lookup", 0.076, 0.486, 1.296, 1)
 DATA_CENTRES = 3
@@ -32,7 +32,9 @@
     ]
     candidates = [candidate_of(member, Load(NOW)) for member in members]
     me = Member("me", "dc-0", "region", 1)
-    context.choice = Choice(me, candidates, (), RouteTraits(LOOKUP.aim), LOOKUP.aim, NOW)
+    context.choice = Choice(
+        me, candidates, (), RouteTraits(LOOKUP.latency_objective), LOOKUP.latency_objective, NOW
+    )
 
 
 @when("{daemons:d} daemons place {seconds:d} seconds of lookups by asking and by memory")
@@ -46,7 +48,7 @@
 
 
 def unserved(outcome):
-    return outcome.asked.total() - outcome.served.total()
+    return outcome.requested.total() - outcome.served.total()
 
 
 @then("asking refuses at most a third as many")
@@ -103,7 +105,9 @@
 
 def request(number, aim):
     attempt = AttemptId("a", 1, number)
-    return Request(attempt, "all", WIDE, NOW + 1.0, "lookup", NOW + aim, aim, 1, arrived_at=NOW)
+    return Request(
+        attempt, "all", HIGH_LIMITS, NOW + 1.0, "lookup", NOW + aim, aim, 1, arrived_at=NOW
+    )
 
 
 @given("a server with {slots:d} slots that are taken for {ms:d} ms more")
--- a/features/steps/subsetting.py
+++ b/features/steps/subsetting.py
@@ -102,7 +102,7 @@
     capacity = context.slots * sum(context.speeds)
     requests = simulated.arrivals([LOOKUP], capacity, load, seconds, seed=5)
     context.in_time = {}
-    for name in (simulated.ASKING, simulated.ASKING_SOME):
+    for name in (simulated.SAMPLING, simulated.SUBSET_SAMPLING):
         fleet = Fleet(context.speeds, context.slots, "objective", name, daemons, context.places)
         context.in_time[name] = fleet.run(requests, 5).in_time.total()
 
@@ -110,4 +110,4 @@
 @then("with some at least {part:g} of the answers in time come in time")
 def as_many(context, part):
     counts = context.in_time
-    assert counts[simulated.ASKING_SOME] >= part * counts[simulated.ASKING], counts
+    assert counts[simulated.SUBSET_SAMPLING] >= part * counts[simulated.SAMPLING], counts
--- a/hornbeamgw/testing/mesh_load.py
+++ b/hornbeamgw/testing/mesh_load.py
@@ -1,4 +1,4 @@
-"""Mesh loads: what is asked of services in data centres, described by a few figures."""
+"""Synthetic workloads for the mesh model: request kinds, nodes, departures and bursts."""
 
 from __future__ import annotations
 
@@ -8,34 +8,38 @@
 from typing import NamedTuple
 
 
-class Inner(NamedTuple):
-    """Hold which kind of call a request makes, how many at once, and in which part of the cases."""
+class NestedCalls(NamedTuple):
+    """Calls that a request makes: their kind, how many in parallel, and the share of requests."""
 
     kind: str
-    times: int
+    n_calls: int
     share: float
 
 
 class Kind(NamedTuple):
-    """Hold a kind of request; times in seconds, the rate in requests a second."""
+    """Kind of request; times are in seconds, `rate` in requests per second.
+
+    `worth` is the value of an answer within the latency objective; `late_worth` is the fraction of
+    it that a later answer is worth before the deadline.
+    """
 
     name: str
     service: str
     work: float
-    spread: float  # of the logarithm of work
-    aim: float
+    log_sigma: float  # standard deviation of the logarithm of the work
+    latency_objective: float
     deadline: float
     rate: float = 0.0
-    size: int = 0
+    answer_bytes: int = 0
     worth: float = 1.0
     late_worth: float = 0.1
     priority: int = 2
     retries: int = 2
-    inner: Inner | None = None
+    nested: NestedCalls | None = None
 
 
-class Place(NamedTuple):
-    """Hold a server: where it is, of which service, how fast and with how many slots."""
+class Node(NamedTuple):
+    """A backend server and the daemon next to it; `speed` is relative to the nominal speed."""
 
     data_centre: str
     service: str
@@ -43,114 +47,121 @@
     slots: int
 
 
-class Change(NamedTuple):
-    """Hold a server that stops to take work at a time (s)."""
+class Departure(NamedTuple):
+    """A server that starts to drain at a time in seconds; `node` is its index."""
 
     at: float
-    place: int
+    node: int
 
 
 class Burst(NamedTuple):
-    """Hold from when to when (s) requests come at a multiple of their rate."""
+    """Interval in seconds during which request rates are multiplied by a factor."""
 
     begin: float = 0.0
     end: float = 0.0
     factor: float = 1.0
 
 
-class Offered(NamedTuple):
-    """Hold a load: kinds of request, servers, the rate's factor, servers that leave, a burst."""
+class OfferedLoad(NamedTuple):
+    """Workload: request kinds, nodes, a factor for all rates, servers that leave, and a burst."""
 
     kinds: Sequence[Kind]
-    places: Sequence[Place]
+    nodes: Sequence[Node]
     factor: float = 1.0
-    leaving: Sequence[Change] = ()
+    departures: Sequence[Departure] = ()
     burst: Burst = Burst()
 
 
-# One of the users' patterns: one or two servers of a service in each data centre, speeds three to
-# one, calls to the other service, and prices at which a KB across costs a seventh of a lookup.
+# One or two servers of a service in each data centre, with speeds that differ by up to a factor of
+# three, and calls to the other service.
 FEW_SERVERS: tuple[Kind, ...] = (
-    Kind("lookup", "entries", 0.22, 0.8, 0.6, 2.0, 56.2, 1500, inner=Inner("lane", 2, 0.7)),
+    Kind("lookup", "entries", 0.22, 0.8, 0.6, 2.0, 56.2, 1500, nested=NestedCalls("lane", 2, 0.7)),
     Kind("entry", "entries", 0.29, 0.8, 0.8, 2.5, 31.5, 5500, 2.0, 0.2, 1),
     Kind("sheet", "races", 0.55, 0.3, 1.5, 5.0, 24.7, 5000),
-    Kind("lane", "races", 0.055, 0.5, 0.2, 0.6, size=100, worth=0.0, retries=0),
+    Kind("lane", "races", 0.055, 0.5, 0.2, 0.6, answer_bytes=100, worth=0.0, retries=0),
 )
-# Another: three services, short objectives, rosters of 90 KB.
-CHECK = Inner("check", 1, 0.5)
-SHORT_AIMS: tuple[Kind, ...] = (
+# Three services with short latency objectives; answers of one kind have 90 KB.
+NESTED_CHECK = NestedCalls("check", 1, 0.5)
+SHORT_OBJECTIVES: tuple[Kind, ...] = (
     Kind("slots", "desk", 0.06, 0.5, 0.2, 0.5, 254.0, 1500, late_worth=0.3, retries=1),
-    Kind("booking", "books", 0.078, 0.5, 0.25, 0.6, 86.4, 1500, 2.0, 0.3, 1, 1, CHECK),
+    Kind("booking", "books", 0.078, 0.5, 0.25, 0.6, 86.4, 1500, 2.0, 0.3, 1, 1, NESTED_CHECK),
     Kind("roster", "rosters", 0.048, 0.5, 0.25, 0.6, 38.6, 90_000, late_worth=0.3, retries=1),
     Kind("history", "rosters", 0.24, 0.5, 0.6, 1.5, 45.8, 1500, late_worth=0.3, retries=1),
-    Kind("check", "rosters", 0.015, 0.5, 0.06, 0.2, size=100, worth=0.0, retries=0),
+    Kind("check", "rosters", 0.015, 0.5, 0.06, 0.2, answer_bytes=100, worth=0.0, retries=0),
 )
 SPEEDS = (0.5, 1.0, 1.0, 1.5)
 
 
-def few_servers(factor: float, seed: int, leaving: Sequence[Change] = ()) -> Offered:
-    """Return a load of the first pattern, its speeds drawn by a seed."""
+def few_servers(factor: float, seed: int, departures: Sequence[Departure] = ()) -> OfferedLoad:
+    """Return a workload of the kinds in FEW_SERVERS with random server speeds."""
     rng = random.Random(seed)
-    places = []
+    nodes = []
     for number, entries in enumerate((2, 2, 1, 1)):
         centre = f"dc-{number}"
-        places += [Place(centre, "entries", rng.choice(SPEEDS), 6) for _ in range(entries)]
+        nodes += [Node(centre, "entries", rng.choice(SPEEDS), 6) for _ in range(entries)]
     speeds = rng.sample(SPEEDS, len(SPEEDS))
-    places += [Place(f"dc-{number}", "races", speed, 6) for number, speed in enumerate(speeds)]
-    return Offered(FEW_SERVERS, places, factor, leaving)
+    nodes += [Node(f"dc-{number}", "races", speed, 6) for number, speed in enumerate(speeds)]
+    return OfferedLoad(FEW_SERVERS, nodes, factor, departures)
 
 
-def short_aims(factor: float, seed: int) -> Offered:
-    """Return a load of the second pattern, its speeds drawn by a seed."""
+def short_objectives(factor: float, seed: int) -> OfferedLoad:
+    """Return a workload of the kinds in SHORT_OBJECTIVES with random server speeds."""
     rng = random.Random(seed)
     services = ["desk"] * 5 + ["books"] * 3 + ["rosters"] * 3
-    places = [
-        Place(f"dc-{number % 3}", service, rng.choice(SPEEDS), 6)
+    nodes = [
+        Node(f"dc-{number % 3}", service, rng.choice(SPEEDS), 6)
         for number, service in enumerate(services)
     ]
-    return Offered(SHORT_AIMS, places, factor)
+    return OfferedLoad(SHORT_OBJECTIVES, nodes, factor)
 
 
-def drawn(seed: int) -> Offered:
-    """Return a load drawn from ranges around both patterns."""
+def random_load(seed: int) -> OfferedLoad:
+    """Return a workload with random variations of either set of kinds."""
     rng = random.Random(seed)
-    chosen = rng.choice((FEW_SERVERS, SHORT_AIMS))
-    stretch = rng.uniform(0.5, 2.0)
+    chosen = rng.choice((FEW_SERVERS, SHORT_OBJECTIVES))
+    time_factor = rng.uniform(0.5, 2.0)
     kinds = tuple(
         kind._replace(
-            aim=kind.aim * stretch,
-            deadline=kind.deadline * stretch,
-            size=round(kind.size * rng.uniform(0.3, 3.0)),
+            latency_objective=kind.latency_objective * time_factor,
+            deadline=kind.deadline * time_factor,
+            answer_bytes=round(kind.answer_bytes * rng.uniform(0.3, 3.0)),
         )
         for kind in chosen
     )
-    base = few_servers if kinds[0].service == "entries" else short_aims
+    base = few_servers if kinds[0].service == "entries" else short_objectives
     return base(rng.uniform(0.7, 1.3), seed)._replace(kinds=kinds)
 
 
-def _in_time(kind: Kind, speed: float) -> float:
-    """Return how likely the work alone, without any wait, ends within the objective."""
-    z = (math.log(kind.aim * speed / kind.work) + kind.spread**2 / 2) / kind.spread
+def _in_time_probability(kind: Kind, speed: float) -> float:
+    """Return the probability that a request meets its latency objective if it never waits."""
+    z = (
+        math.log(kind.latency_objective * speed / kind.work) + kind.log_sigma**2 / 2
+    ) / kind.log_sigma
     return 0.5 * math.erfc(-z / math.sqrt(2))
 
 
-def bound(load: Offered) -> float:
-    """Return a part of the worth that nobody can exceed in the mean, knowing all.
+def max_worth_ratio(load: OfferedLoad) -> float:
+    """Return an upper bound of the mean ratio of earned to offered worth for any policy.
 
-    Each service serves by worth for slot time, as if all its slots were one queue that never idles,
-    and nothing waits; an answer is in time as often as its work alone is at the fastest server.
+    Each service is treated as one pool of slots that is never idle and serves the requests with the
+    highest worth per slot time first. Requests do not wait and run on the fastest server.
     """
-    owed = sum(kind.rate * kind.worth for kind in load.kinds)
+    offered = sum(kind.rate * kind.worth for kind in load.kinds)
     earned = 0.0
     for service in {kind.service for kind in load.kinds}:
-        places = [place for place in load.places if place.service == service]
-        slots = sum(place.slots * place.speed for place in places)
-        fastest = max(place.speed for place in places)
+        nodes = [node for node in load.nodes if node.service == service]
+        slots = sum(node.slots * node.speed for node in nodes)
+        fastest = max(node.speed for node in nodes)
         kinds = [kind for kind in load.kinds if kind.service == service and kind.rate]
         for kind in sorted(kinds, key=lambda k: k.worth / k.work, reverse=True):
-            wanted = kind.rate * load.factor * kind.work
-            served = min(1.0, slots / wanted) if wanted else 1.0
-            slots -= served * wanted
-            chance = _in_time(kind, fastest)
-            earned += kind.rate * kind.worth * served * (chance + (1 - chance) * kind.late_worth)
-    return earned / owed
+            demand = kind.rate * load.factor * kind.work
+            served = min(1.0, slots / demand) if demand else 1.0
+            slots -= served * demand
+            probability = _in_time_probability(kind, fastest)
+            earned += (
+                kind.rate
+                * kind.worth
+                * served
+                * (probability + (1 - probability) * kind.late_worth)
+            )
+    return earned / offered
--- a/hornbeamgw/testing/mesh_model.py
+++ b/hornbeamgw/testing/mesh_model.py
@@ -1,8 +1,8 @@
-"""Mesh model: services in data centres that call one another, in simulated time.
+"""Discrete-event simulation of services in several data centres that call one another.
 
-It drives the very code that decides (choosers, admission, queueing) on loads described by a few
-figures, with what decides the outcome on heavy days: speeds that nobody is told, slots held while
-calls wait, callers that come back, and bytes that cross.
+It runs the choosers, admission and queueing of hornbeamgw.core on synthetic workloads. It models
+servers of different speeds that the daemons do not know, slots that stay occupied during nested
+calls, retries by callers, and traffic between data centres.
 """
 
 from __future__ import annotations
@@ -26,63 +26,64 @@
 from hornbeamgw.core.membership import Member, ServerState
 from hornbeamgw.core.placement import RouteTraits
 from hornbeamgw.core.snapshot import Limits
-from hornbeamgw.testing.mesh_load import Inner, Kind, Offered, Place
-
-WIDE = Limits(10_000, 0, 64)
-HOP_S = 0.0015  # from a daemon to another or to its caller, its own work included
-CROSSING_S = 0.0005
-CHECK_EVERY_S = 0.1
-MOST_REFUSALS = 3
-RETURN_SPREAD = 0.5
-RETURN_LEAST_S = 0.01
+from hornbeamgw.testing.mesh_load import Kind, NestedCalls, Node, OfferedLoad
+
+HIGH_LIMITS = Limits(10_000, 0, 64)
+# One way between daemons, or from a daemon to its caller, including processing.
+HOP_DELAY_S = 0.0015
+CROSS_DC_DELAY_S = 0.0005
+CHECK_INTERVAL_S = 0.1
+MAX_REFUSALS = 3
+RETRY_JITTER_RATIO = 0.5
+MIN_RETRY_DELAY_S = 0.01
 REFUSAL_BYTES = 150
-HEAD_BYTES = 170  # of a call and its answer together, on a link that compresses heads
+HEADERS_BYTES = 170  # request and response headers together, on a link that compresses headers
 
 
 class Outcome:
-    """Count what became of requests by kind, and the bytes that crossed."""
+    """Counts of requests by kind, and the bytes sent between data centres."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
-        self.asked: Counter[str] = Counter()
+        """Create empty counts."""
+        self.requested: Counter[str] = Counter()
         self.in_time: Counter[str] = Counter()
         self.late: Counter[str] = Counter()
-        self.tries: Counter[str] = Counter()
+        self.attempts: Counter[str] = Counter()
         self.refused: Counter[str] = Counter()
         self.failed_runs: Counter[str] = Counter()
-        self.crossed_bytes = 0
+        self.cross_dc_bytes = 0
 
     def worth(self, kinds: Sequence[Kind]) -> float:
-        """Return which part of the worth that was owed has been earned."""
-        owed = sum(self.asked[kind.name] * kind.worth for kind in kinds)
+        """Return the ratio of earned to offered worth."""
+        offered = sum(self.requested[kind.name] * kind.worth for kind in kinds)
         earned = sum(
             (self.in_time[kind.name] + self.late[kind.name] * kind.late_worth) * kind.worth
             for kind in kinds
         )
-        return earned / owed if owed else 0.0
+        return earned / offered if offered else 0.0
 
 
 class _Task:
-    """Hold one request of a client or one call of a run."""
+    """A request of a client, or a nested call of a running request."""
 
-    def __init__(self, kind: Kind, place: int, born: float, deadline: float) -> None:
+    def __init__(self, kind: Kind, node: int, created_at: float, deadline: float) -> None:
         self.kind = kind
-        self.place = place
-        self.born = born
+        self.node = node
+        self.created_at = created_at
         self.deadline = deadline
-        self.tried: list[str] = []
+        self.tried_addresses: list[str] = []
         self.refusals = 0
         self.retry_after = 0.0
-        self.tries = 0
-        self.came_back = False
-        self.on_end: Callable[[bool], None] = lambda ok: None
+        self.attempts = 0
+        self.is_retry = False
+        self.on_end: Callable[[bool], None] = lambda is_ok: None
 
 
 class Mesh:
-    """Hold daemons, each beside one server, and play a load."""
+    """Simulated daemons, each next to one backend server."""
 
-    def __init__(self, load: Offered, queueing: str, chooser: str, seed: int) -> None:
-        """Take the load and the names of both policies."""
+    def __init__(self, load: OfferedLoad, queueing: str, chooser: str, seed: int) -> None:
+        """Create the nodes of a load; `queueing` and `chooser` are names of policies."""
         self.outcome = Outcome()
         self._load = load
         self._rng = random.Random(seed)
@@ -90,41 +91,41 @@
         self._choose = balancing.chooser_of(chooser)
         self._members = [
             Member(
-                f"s{i}", place.data_centre, "region", 1, 0, service=place.service,
-                server_state=ServerState.SERVING, slots=place.slots,
+                f"s{i}", node.data_centre, "region", 1, 0, service=node.service,
+                server_state=ServerState.SERVING, slots=node.slots,
             )
-            for i, place in enumerate(load.places)
+            for i, node in enumerate(load.nodes)
         ]  # fmt: skip
-        self._states = [self._new_state(queueing, place) for place in load.places]
-        self._loads = [[Load(0.0) for _ in load.places] for _ in load.places]
-        self._traits: list[dict[str, RouteTraits]] = [{} for _ in load.places]
+        self._states = [self._new_state(queueing, node) for node in load.nodes]
+        self._loads = [[Load(0.0) for _ in load.nodes] for _ in load.nodes]
+        self._traits: list[dict[str, RouteTraits]] = [{} for _ in load.nodes]
         self._tasks: dict[AttemptId, _Task] = {}
-        self._began: dict[AttemptId, float] = {}
+        self._started_at_by_attempt: dict[AttemptId, float] = {}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._number = 0
+        self._sequence = 0
         self._now = 0.0
 
-    def _new_state(self, queueing: str, place: Place) -> AdmissionState:
+    def _new_state(self, queueing: str, node: Node) -> AdmissionState:
         state = AdmissionState(queueing)
-        state.service, state.slots = place.service, place.slots
+        state.service, state.slots = node.service, node.slots
         state.server_state = ServerState.SERVING
         return state
 
-    def _at(self, when: float, act: Callable[[], None]) -> None:
-        self._number += 1
-        heapq.heappush(self._events, (when, self._number, act))
+    def _schedule(self, when: float, action: Callable[[], None]) -> None:
+        self._sequence += 1
+        heapq.heappush(self._events, (when, self._sequence, action))
 
     def run(self, seconds: float) -> Outcome:
-        """Play the load for a time (s) and return what became of it."""
+        """Simulate arrivals for this many seconds and return the outcome of all requests."""
         for kind in self._load.kinds:
             if kind.rate:
-                self._at(0.0, partial(self._next_arrival, kind, seconds))
-        for change in self._load.leaving:
-            self._at(change.at, partial(self._leave, change.place))
-        self._at(CHECK_EVERY_S, lambda: self._check(seconds))
+                self._schedule(0.0, partial(self._next_arrival, kind, seconds))
+        for departure in self._load.departures:
+            self._schedule(departure.at, partial(self._leave, departure.node))
+        self._schedule(CHECK_INTERVAL_S, lambda: self._check(seconds))
         while self._events:
-            self._now, _, act = heapq.heappop(self._events)
-            act()
+            self._now, _, action = heapq.heappop(self._events)
+            action()
         return self.outcome
 
     def _next_arrival(self, kind: Kind, seconds: float) -> None:
@@ -133,178 +134,196 @@
         rate = kind.rate * self._load.factor * (burst.factor if is_burst else 1.0)
         if self._now >= seconds:
             return
-        self.outcome.asked[kind.name] += 1
-        centres = sorted({place.data_centre for place in self._load.places})
+        self.outcome.requested[kind.name] += 1
+        centres = sorted({node.data_centre for node in self._load.nodes})
         centre = self._rng.choice(centres)
-        beside = [i for i, p in enumerate(self._load.places) if p.data_centre == centre]
-        task = _Task(kind, self._rng.choice(beside), self._now, self._now + kind.deadline)
-        self._start_try(task)
-        self._at(self._now + self._rng.expovariate(rate), lambda: self._next_arrival(kind, seconds))
+        local_nodes = [i for i, n in enumerate(self._load.nodes) if n.data_centre == centre]
+        task = _Task(kind, self._rng.choice(local_nodes), self._now, self._now + kind.deadline)
+        self._start_attempt(task)
+        self._schedule(
+            self._now + self._rng.expovariate(rate), lambda: self._next_arrival(kind, seconds)
+        )
 
-    def _start_try(self, task: _Task) -> None:
-        task.tries += 1
-        self.outcome.tries[task.kind.name] += 1
-        task.tried, task.refusals, task.retry_after = [], 0, 0.0
-        self._place(task)
+    def _start_attempt(self, task: _Task) -> None:
+        task.attempts += 1
+        self.outcome.attempts[task.kind.name] += 1
+        task.tried_addresses, task.refusals, task.retry_after = [], 0, 0.0
+        self._dispatch(task)
 
     def _check(self, seconds: float) -> None:
-        for place, state in enumerate(self._states):
-            self._act(place, admission.next_decisions(state, self._now))
+        for node, state in enumerate(self._states):
+            self._apply(node, admission.next_decisions(state, self._now))
         if self._now < seconds + 5:
-            self._at(self._now + CHECK_EVERY_S, lambda: self._check(seconds))
-
-    def _leave(self, place: int) -> None:
-        self._members[place] = self._members[place]._replace(server_state=ServerState.DRAINING)
-        self._act(place, admission.drain(self._states[place], self._now))
-
-    def _traits_of(self, place: int, kind: Kind) -> RouteTraits:
-        return self._traits[place].setdefault(kind.name, RouteTraits(kind.aim))
-
-    def _place(self, task: _Task) -> None:
-        kind, place = task.kind, task.place
-        pairs = zip(self._members, self._loads[place], strict=True)
-        fit = [candidate_of(m, load) for m, load in pairs if m.service == kind.service]
-        fit = [c for c in fit if c.member.server_state is ServerState.SERVING]
-        traits = self._traits_of(place, kind)
-        objective = task.born + kind.aim
+            self._schedule(self._now + CHECK_INTERVAL_S, lambda: self._check(seconds))
+
+    def _leave(self, node: int) -> None:
+        self._members[node] = self._members[node]._replace(server_state=ServerState.DRAINING)
+        self._apply(node, admission.drain(self._states[node], self._now))
+
+    def _traits_of(self, node: int, kind: Kind) -> RouteTraits:
+        return self._traits[node].setdefault(kind.name, RouteTraits(kind.latency_objective))
+
+    def _dispatch(self, task: _Task) -> None:
+        kind, node = task.kind, task.node
+        pairs = zip(self._members, self._loads[node], strict=True)
+        candidates = [candidate_of(m, load) for m, load in pairs if m.service == kind.service]
+        candidates = [c for c in candidates if c.member.server_state is ServerState.SERVING]
+        traits = self._traits_of(node, kind)
+        objective = task.created_at + kind.latency_objective
         choice = Choice(
-            self._members[place], fit, task.tried, traits, kind.aim, self._now, objective
+            self._members[node],
+            candidates,
+            task.tried_addresses,
+            traits,
+            kind.latency_objective,
+            self._now,
+            objective,
         )
         chosen = self._choose(choice, self._rng)
         if chosen is None:
-            self._refused(task)
+            self._finish_refused(task)
             return
         target = self._members.index(chosen.member)
-        task.tried.append(chosen.member.address)
+        task.tried_addresses.append(chosen.member.address)
         chosen.load.sent_since_report += 1
         chosen.load.outstanding += 1
-        is_far = chosen.member.data_centre != self._members[place].data_centre
-        if is_far:
-            self.outcome.crossed_bytes += HEAD_BYTES // 2
-        hop = self._hop(place, target)
-        self._at(self._now + hop, lambda: self._arrive(task, target))
-
-    def _hop(self, one: int, other: int) -> float:
-        if one == other:
+        is_remote = chosen.member.data_centre != self._members[node].data_centre
+        if is_remote:
+            self.outcome.cross_dc_bytes += HEADERS_BYTES // 2
+        delay = self._network_delay(node, target)
+        self._schedule(self._now + delay, lambda: self._arrive(task, target))
+
+    def _network_delay(self, source: int, destination: int) -> float:
+        if source == destination:
             return 0.0
-        is_far = self._members[one].data_centre != self._members[other].data_centre
-        return HOP_S + CROSSING_S * is_far
+        is_remote = self._members[source].data_centre != self._members[destination].data_centre
+        return HOP_DELAY_S + CROSS_DC_DELAY_S * is_remote
 
     def _arrive(self, task: _Task, target: int) -> None:
-        self._number += 1
-        attempt = AttemptId(str(task.place), 1, self._number)
+        self._sequence += 1
+        attempt = AttemptId(str(task.node), 1, self._sequence)
         kind = task.kind
         request = Request(
-            attempt, "all", WIDE, task.deadline, kind.name, task.born + kind.aim, kind.aim,
-            kind.priority, task.came_back, 0.0, self._now,
+            attempt, "all", HIGH_LIMITS, task.deadline, kind.name,
+            task.created_at + kind.latency_objective, kind.latency_objective, kind.priority,
+            task.is_retry, 0.0, self._now,
         )  # fmt: skip
         self._tasks[attempt] = task
         state = self._states[target]
-        self._act(target, [admission.admit(state, request, kind.service, self._now)])
+        self._apply(target, [admission.admit(state, request, kind.service, self._now)])
 
-    def _act(self, place: int, decisions: Sequence[Decision]) -> None:
+    def _apply(self, node: int, decisions: Sequence[Decision]) -> None:
         for decision in decisions:
             attempt = decision.request.attempt
             if isinstance(decision, Admitted):
-                self._begin(place, attempt)
+                self._begin(node, attempt)
             elif isinstance(decision, Refused):
                 task = self._tasks.pop(attempt)
                 wait = decision.failure.retry_after_ms / 1000
-                back = self._now + self._hop(place, task.place)
-                self._at(back, partial(self._on_refusal, place, task, wait))
+                back = self._now + self._network_delay(node, task.node)
+                self._schedule(back, partial(self._on_refusal, node, task, wait))
 
-    def _on_refusal(self, place: int, task: _Task, retry_after: float) -> None:
-        load = self._loads[task.place][place]
+    def _on_refusal(self, node: int, task: _Task, retry_after: float) -> None:
+        load = self._loads[task.node][node]
         load.outstanding -= 1
-        self._report(place, load)
-        if self._members[place].data_centre != self._members[task.place].data_centre:
-            self.outcome.crossed_bytes += REFUSAL_BYTES
+        self._report(node, load)
+        if self._members[node].data_centre != self._members[task.node].data_centre:
+            self.outcome.cross_dc_bytes += REFUSAL_BYTES
         task.refusals += 1
         known = task.retry_after
         task.retry_after = min(known, retry_after) if known else retry_after
-        if task.refusals >= MOST_REFUSALS:
-            self._refused(task)
+        if task.refusals >= MAX_REFUSALS:
+            self._finish_refused(task)
         else:
-            self._place(task)
+            self._dispatch(task)
 
-    def _report(self, place: int, load: Load) -> None:
-        state = self._states[place]
+    def _report(self, node: int, load: Load) -> None:
+        state = self._states[node]
         wait = admission.expected_wait(state, self._now)
         placement.note_report(load, admission.free_slots(state), wait, self._now)
 
-    def _begin(self, place: int, attempt: AttemptId) -> None:
+    def _begin(self, node: int, attempt: AttemptId) -> None:
         task, kind = self._tasks[attempt], self._tasks[attempt].kind
-        self._began[attempt] = self._now
-        work = kind.work * self._rng.lognormvariate(-kind.spread**2 / 2, kind.spread)
-        work /= self._load.places[place].speed
-        inner = kind.inner
-        if inner is None or self._rng.random() >= inner.share:
-            self._at(self._now + work, lambda: self._end_run(place, attempt, task, True))
+        self._started_at_by_attempt[attempt] = self._now
+        work = kind.work * self._rng.lognormvariate(-kind.log_sigma**2 / 2, kind.log_sigma)
+        work /= self._load.nodes[node].speed
+        nested = kind.nested
+        if nested is None or self._rng.random() >= nested.share:
+            self._schedule(self._now + work, lambda: self._end_run(node, attempt, task, True))
             return
-        self._at(self._now + work / 2, lambda: self._call(place, attempt, task, inner, work / 2))
+        self._schedule(
+            self._now + work / 2,
+            lambda: self._make_nested_calls(node, attempt, task, nested, work / 2),
+        )
 
-    def _call(self, place: int, attempt: AttemptId, task: _Task, inner: Inner, rest: float) -> None:
-        kind = self._kinds_by_name[inner.kind]
-        left = [inner.times]
+    def _make_nested_calls(
+        self, node: int, attempt: AttemptId, task: _Task, nested: NestedCalls, remaining_work: float
+    ) -> None:
+        kind = self._kinds_by_name[nested.kind]
+        remaining = [nested.n_calls]
 
-        def on_end(ok: bool) -> None:
-            if attempt not in self._began:
+        def on_end(is_ok: bool) -> None:
+            if attempt not in self._started_at_by_attempt:
                 return
-            left[0] -= 1
-            if not ok:
-                self._end_run(place, attempt, task, False)
-            elif not left[0]:
-                self._at(self._now + rest, lambda: self._end_run(place, attempt, task, True))
-
-        for _ in range(inner.times):
+            remaining[0] -= 1
+            if not is_ok:
+                self._end_run(node, attempt, task, False)
+            elif not remaining[0]:
+                self._schedule(
+                    self._now + remaining_work, lambda: self._end_run(node, attempt, task, True)
+                )
+
+        for _ in range(nested.n_calls):
             deadline = min(task.deadline, self._now + kind.deadline)
-            call = _Task(kind, place, self._now, deadline)
+            call = _Task(kind, node, self._now, deadline)
             call.on_end = on_end
-            self.outcome.asked[kind.name] += 1
-            self._start_try(call)
+            self.outcome.requested[kind.name] += 1
+            self._start_attempt(call)
 
-    def _end_run(self, place: int, attempt: AttemptId, task: _Task, ok: bool) -> None:
-        began = self._began.pop(attempt, None)
-        if began is None:
+    def _end_run(self, node: int, attempt: AttemptId, task: _Task, is_ok: bool) -> None:
+        started_at = self._started_at_by_attempt.pop(attempt, None)
+        if started_at is None:
             return
         del self._tasks[attempt]
-        self._act(place, admission.finish(self._states[place], attempt, began, self._now))
-        held, kind = self._now - began, task.kind
-        if not ok:
+        self._apply(node, admission.finish(self._states[node], attempt, started_at, self._now))
+        service_time, kind = self._now - started_at, task.kind
+        if not is_ok:
             self.outcome.failed_runs[kind.name] += 1
-        if self._members[place].data_centre != self._members[task.place].data_centre:
-            self.outcome.crossed_bytes += HEAD_BYTES // 2 + kind.size
-        when = self._now + self._hop(place, task.place)
-        self._at(when, lambda: self._answered(place, task, held, ok))
+        if self._members[node].data_centre != self._members[task.node].data_centre:
+            self.outcome.cross_dc_bytes += HEADERS_BYTES // 2 + kind.answer_bytes
+        when = self._now + self._network_delay(node, task.node)
+        self._schedule(when, lambda: self._on_answer(node, task, service_time, is_ok))
 
-    def _answered(self, place: int, task: _Task, held: float, ok: bool) -> None:
-        load = self._loads[task.place][place]
+    def _on_answer(self, node: int, task: _Task, service_time: float, is_ok: bool) -> None:
+        load = self._loads[task.node][node]
         load.outstanding -= 1
-        self._report(place, load)
-        placement.note_outcome(load, not ok, self._now)
-        if ok:
-            traits = self._traits_of(task.place, task.kind)
-            placement.note_answer(traits, load, held, task.kind.size + HEAD_BYTES)
+        self._report(node, load)
+        placement.note_outcome(load, not is_ok, self._now)
+        if is_ok:
+            traits = self._traits_of(task.node, task.kind)
+            placement.note_answer(
+                traits, load, service_time, task.kind.answer_bytes + HEADERS_BYTES
+            )
             self._succeed(task)
         else:
             self._fail(task, 0.0)
 
     def _succeed(self, task: _Task) -> None:
-        if self._now <= task.born + task.kind.aim:
+        if self._now <= task.created_at + task.kind.latency_objective:
             self.outcome.in_time[task.kind.name] += 1
         elif self._now <= task.deadline:
             self.outcome.late[task.kind.name] += 1
         task.on_end(self._now <= task.deadline)
 
-    def _refused(self, task: _Task) -> None:
+    def _finish_refused(self, task: _Task) -> None:
         self.outcome.refused[task.kind.name] += 1
-        spread = self._rng.uniform(1, 1 + RETURN_SPREAD)
-        self._fail(task, max(RETURN_LEAST_S, task.retry_after * spread))
+        jitter = self._rng.uniform(1, 1 + RETRY_JITTER_RATIO)
+        self._fail(task, max(MIN_RETRY_DELAY_S, task.retry_after * jitter))
 
     def _fail(self, task: _Task, wait: float) -> None:
-        left = task.deadline - self._now
-        if task.tries > task.kind.retries or left <= 0 or wait > left / 3:
+        remaining = task.deadline - self._now
+        if task.attempts > task.kind.retries or remaining <= 0 or wait > remaining / 3:
             task.on_end(False)
             return
-        task.came_back = True
-        self._at(self._now + HOP_S + wait, lambda: self._start_try(task))
+        task.is_retry = True
+        self._schedule(self._now + HOP_DELAY_S + wait, lambda: self._start_attempt(task))
--- a/hornbeamgw/testing/simulated.py
+++ b/hornbeamgw/testing/simulated.py
@@ -1,4 +1,4 @@
-"""Simulated load: policies decide on requests in simulated time, without a network."""
+"""Discrete-event simulation of queueing and balancing policies for one service."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 from hornbeamgw.core.placement import RouteTraits
 from hornbeamgw.core.snapshot import Limits
 
-WIDE = Limits(10_000, 0, 64)
+HIGH_LIMITS = Limits(10_000, 0, 64)
 SERVICE = "service"
-SPREAD = 0.5  # of the logarithm of work, as on the users' sheets
-TRIES = 3
+WORK_LOG_SIGMA = 0.5  # standard deviation of the logarithm of the work
+MAX_ATTEMPTS = 3
 ANSWER_BYTES = 1500
-FOREVER = 1e9
-ASKING = "asking"  # the way to choose that asks some gates first
-ASKING_SOME = "asking_some"  # the same among the servers that a daemon deals with
+END_OF_TIME_S = 1e9
+SAMPLING = "asking"  # chooser that queries a sample of the servers first
+SUBSET_SAMPLING = "asking_some"  # the same, restricted to the daemon's subset of servers
 
 
 class Kind(NamedTuple):
-    """Hold a kind of request: mean work, objective and deadline (s), and its share."""
+    """Kind of request: mean work, latency objective and deadline in seconds, and its weight."""
 
     name: str
     work: float
-    aim: float
+    latency_objective: float
     deadline: float
     weight: float
 
 
 class Arrival(NamedTuple):
-    """Hold one request: when (s), of which kind, and its work (s)."""
+    """A request: its arrival time in seconds, its kind, and its work in seconds at speed 1."""
 
     at: float
     kind: Kind
@@ -51,11 +51,11 @@
 
 
 class Outcome:
-    """Count by kind what was asked, answered before its deadline, and within its objective."""
+    """Counts by kind: requests, answers before the deadline, and answers within the objective."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
-        self.asked: Counter[str] = Counter()
+        """Create empty counts."""
+        self.requested: Counter[str] = Counter()
         self.served: Counter[str] = Counter()
         self.in_time: Counter[str] = Counter()
 
@@ -64,28 +64,28 @@
     end: float
     attempt: AttemptId
     server: int
-    began: float
+    started_at: float
     request: Request
 
 
 def arrivals(
     kinds: Sequence[Kind], slots: float, factor: float, seconds: float, seed: int
 ) -> list[Arrival]:
-    """Return requests at a factor of what slots of speed 1 can do, at random times."""
+    """Return random requests; `factor` is their load relative to the capacity of `slots` slots."""
     rng = random.Random(seed)
     mean = sum(k.work * k.weight for k in kinds) / sum(k.weight for k in kinds)
     weights = [kind.weight for kind in kinds]
-    found, now = [], 0.0
+    requests, now = [], 0.0
     while now < seconds:
         now += rng.expovariate(factor * slots / mean)
         kind = rng.choices(kinds, weights)[0]
-        work = kind.work * rng.lognormvariate(-SPREAD * SPREAD / 2, SPREAD)
-        found.append(Arrival(now, kind, work))
-    return found
+        work = kind.work * rng.lognormvariate(-WORK_LOG_SIGMA * WORK_LOG_SIGMA / 2, WORK_LOG_SIGMA)
+        requests.append(Arrival(now, kind, work))
+    return requests
 
 
 def new_server(policy: str, slots: int) -> AdmissionState:
-    """Return the admission state of a server that serves."""
+    """Return the admission state of a server that accepts requests."""
     state = AdmissionState(policy)
     state.service, state.slots, state.server_state = SERVICE, slots, ServerState.SERVING
     return state
@@ -93,14 +93,22 @@
 
 def _request(attempt: AttemptId, arrival: Arrival) -> Request:
     now, kind = arrival.at, arrival.kind
-    deadline, objective = now + kind.deadline, now + kind.aim
+    deadline, objective = now + kind.deadline, now + kind.latency_objective
     return Request(
-        attempt, "all", WIDE, deadline, kind.name, objective, kind.aim, 1, arrived_at=now
+        attempt,
+        "all",
+        HIGH_LIMITS,
+        deadline,
+        kind.name,
+        objective,
+        kind.latency_objective,
+        1,
+        arrived_at=now,
     )
 
 
 class Fleet:
-    """Hold servers of one service, their speeds, and daemons that place requests on them."""
+    """Simulated servers of one service, and daemons that send requests to them."""
 
     def __init__(
         self,
@@ -111,10 +119,10 @@
         daemons: int,
         data_centres: int = 0,
     ) -> None:
-        """Take the speeds of the servers, their slots, and the names of both policies.
+        """Create servers and daemons; `queueing` and `chooser` are names of policies.
 
-        Daemons are spread over as many data centres as servers; with 0, servers lie in three and
-        all daemons in the first.
+        Servers and daemons are spread over `data_centres` data centres. If it is 0, servers are
+        spread over three, and all daemons are in the first.
         """
         self.outcome = Outcome()
         self._speeds = speeds
@@ -130,73 +138,77 @@
             for i in range(daemons)
         ]
         self._index_by_address = {m.address: i for i, m in enumerate(self._members)}
-        self._asks = chooser in (ASKING, ASKING_SOME)
-        self._far = subsetting.N_REMOTE if chooser == ASKING_SOME else len(speeds)
+        self._uses_sampling = chooser in (SAMPLING, SUBSET_SAMPLING)
+        self._n_remote = subsetting.N_REMOTE if chooser == SUBSET_SAMPLING else len(speeds)
         self._known_by_daemon: dict[int, list[Member]] = {}
-        self._choose = balancing.chooser_of("expected_finish" if self._asks else chooser)
+        self._choose = balancing.chooser_of("expected_finish" if self._uses_sampling else chooser)
         self._loads = [[Load(0.0) for _ in speeds] for _ in range(daemons)]
         self._traits: list[dict[str, RouteTraits]] = [{} for _ in range(daemons)]
         self._running: list[_Run] = []
         self._work_by_attempt: dict[AttemptId, tuple[int, Kind, float]] = {}
 
     def run(self, requests: Sequence[Arrival], seed: int) -> Outcome:
-        """Serve all requests and return what became of them."""
+        """Simulate all requests and return their outcome."""
         rng = random.Random(seed)
         for number, arrival in enumerate(requests):
             self._finish_until(arrival.at)
-            self.outcome.asked[arrival.kind.name] += 1
-            self._place(arrival, number * TRIES, rng)
-        self._finish_until(FOREVER)
+            self.outcome.requested[arrival.kind.name] += 1
+            self._dispatch(arrival, number * MAX_ATTEMPTS, rng)
+        self._finish_until(END_OF_TIME_S)
         return self.outcome
 
-    def _place(self, arrival: Arrival, number: int, rng: random.Random) -> None:
+    def _dispatch(self, arrival: Arrival, number: int, rng: random.Random) -> None:
         daemon, kind, now = rng.randrange(len(self._loads)), arrival.kind, arrival.at
-        traits = self._traits[daemon].setdefault(kind.name, RouteTraits(kind.aim))
+        traits = self._traits[daemon].setdefault(kind.name, RouteTraits(kind.latency_objective))
         tried: list[str] = []
-        for attempt_number in range(number, number + TRIES):
+        for attempt_number in range(number, number + MAX_ATTEMPTS):
             candidates = [
                 candidate_of(member, self._loads[daemon][self._index_by_address[member.address]])
-                for member in self._known(daemon)
+                for member in self._known_servers(daemon)
             ]
-            choice = Choice(self._daemons[daemon], candidates, tried, traits, kind.aim, now)
+            choice = Choice(
+                self._daemons[daemon], candidates, tried, traits, kind.latency_objective, now
+            )
             chosen = (
-                self._choose_by_asking(choice, arrival, daemon, rng)
-                if self._asks
+                self._choose_by_sampling(choice, arrival, daemon, rng)
+                if self._uses_sampling
                 else self._choose(choice, rng)
             )
             if chosen is None:
                 return
             tried.append(chosen.member.address)
             attempt = AttemptId("a", daemon, attempt_number)
-            if self._try(self._index_by_address[chosen.member.address], daemon, attempt, arrival):
+            if self._attempt(
+                self._index_by_address[chosen.member.address], daemon, attempt, arrival
+            ):
                 return
 
-    def _known(self, daemon: int) -> list[Member]:
+    def _known_servers(self, daemon: int) -> list[Member]:
         known = self._known_by_daemon.get(daemon)
         if known is None:
-            known = subsetting.server_subset(self._daemons[daemon], self._members, self._far)
+            known = subsetting.server_subset(self._daemons[daemon], self._members, self._n_remote)
             self._known_by_daemon[daemon] = known
         return known
 
-    def _choose_by_asking(
+    def _choose_by_sampling(
         self, choice: Choice, arrival: Arrival, daemon: int, rng: random.Random
     ) -> Candidate | None:
-        """Ask as a daemon does, without delay."""
-        takers: list[Candidate] = []
+        """Query sampled servers as a daemon does, without network delay."""
+        accepting: list[Candidate] = []
         request = _request(AttemptId("asked", daemon, 0), arrival)
-        for is_near in (True, False):
-            for candidate in sampling.sample(choice, is_near, rng):
+        for is_local in (True, False):
+            for candidate in sampling.sample(choice, is_local, rng):
                 server = self._index_by_address[candidate.member.address]
                 state = self._states[server]
                 self._report(server, daemon, arrival.at)
                 if admission.outlook(state, request, SERVICE, arrival.at).would_admit:
-                    takers.append(candidate)
-            found = sampling.best(choice, takers)
+                    accepting.append(candidate)
+            found = sampling.best(choice, accepting)
             if found is not None and sampling.is_short(found.load.wait, choice.latency_objective):
                 return found
         return found
 
-    def _try(self, server: int, daemon: int, attempt: AttemptId, arrival: Arrival) -> bool:
+    def _attempt(self, server: int, daemon: int, attempt: AttemptId, arrival: Arrival) -> bool:
         now, kind = arrival.at, arrival.kind
         self._work_by_attempt[attempt] = (daemon, kind, arrival.work)
         request = _request(attempt, arrival)
@@ -232,14 +244,14 @@
             self.outcome.in_time[kind.name] += run.end <= run.request.objective
             state = self._states[run.server]
             self._begin(
-                run.server, admission.finish(state, run.attempt, run.began, run.end), run.end
+                run.server, admission.finish(state, run.attempt, run.started_at, run.end), run.end
             )
             traits = self._traits[daemon][kind.name]
-            placement.note_answer(traits, load, run.end - run.began, ANSWER_BYTES)
+            placement.note_answer(traits, load, run.end - run.started_at, ANSWER_BYTES)
             self._report(run.server, daemon, run.end)
 
     def _report(self, server: int, daemon: int, now: float) -> None:
-        """Tell a daemon what a server's reports carry with each answer."""
+        """Deliver the load report that accompanies each answer of a server."""
         state = self._states[server]
         wait = admission.expected_wait(state, now)
         free = admission.free_slots(state)
