--- a/benchmarks/data.py
+++ b/benchmarks/data.py
@@ -12,7 +12,7 @@
 from hornbeamgw.daemon.http1 import HttpClient
 from hornbeamgw.testing.demo import example_edit
 from hornbeamgw.testing.fleet import Fleet, Node, Place, ask
-from hornbeamgw.testing.load import KINDS, Kind, Load, audit, call
+from hornbeamgw.testing.load import KINDS, Kind, LoadGenerator, audit, call
 from hornbeamgw.testing.stats import percentile
 
 RATES = tuple(int(rate) for rate in os.environ.get("RATES", "50,274,500").split(","))
@@ -34,7 +34,7 @@
     async def call(self, number: int) -> None:
         """Make one call and keep its time (ms)."""
         outcome = await call(self._client, LOOKUP, f"b{number}")
-        if outcome.verdict is not Verdict.ANSWERED or not outcome.whole:
+        if outcome.verdict is not Verdict.ANSWERED or not outcome.is_complete:
             raise RuntimeError(f"not answered: {outcome}")
         self.times.append(outcome.elapsed * 1000)
 
@@ -121,7 +121,7 @@
     async with Fleet("drain", {"log_level": "WARNING"}) as fleet:
         places = [Place(f"suva-{i % 3 + 1}", "fiji", "slot-desk") for i in range(DRAINS + 3)]
         await ready(fleet, places, "slot-desk")
-        load = Load(lambda: [n.callers for n in fleet.nodes], random.Random(1), KINDS[:1])
+        load = LoadGenerator(lambda: [n.callers for n in fleet.nodes], random.Random(1), KINDS[:1])
         load.start(16, 0.005)
         for node in fleet.nodes[:DRAINS]:
             await asyncio.sleep(1.0)
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -13,7 +13,7 @@
 from benchmarks.report import emit, register, say
 from hornbeamgw.testing.demo import example_edit, places
 from hornbeamgw.testing.fleet import Fleet, Node, ask
-from hornbeamgw.testing.load import Load, audit
+from hornbeamgw.testing.load import LoadGenerator, audit
 
 SECONDS = float(os.environ.get("SECONDS_OF_FAULTS", "300"))
 WORKERS = 24
@@ -98,7 +98,7 @@
         if not await fleet.wait_in_force(answer["version"], LIMIT_S):
             raise RuntimeError("the example catalogue is not in force everywhere")
         await fleet.wait_members(LIMIT_S)
-        load = Load(lambda: [n.callers for n in fleet.nodes if n.daemon.alive], rng)
+        load = LoadGenerator(lambda: [n.callers for n in fleet.nodes if n.daemon.alive], rng)
         chaos = Chaos(fleet, random.Random(2))
         load.start(WORKERS, PAUSE_S)
         loop = asyncio.get_running_loop()
@@ -122,7 +122,7 @@
 
 
 def _emit(
-    load: Load, chaos: Chaos, reports: list[dict[str, Any]], rows: list[dict[str, Any]]
+    load: LoadGenerator, chaos: Chaos, reports: list[dict[str, Any]], rows: list[dict[str, Any]]
 ) -> None:
     counted = audit(load.outcomes, reports)
     reasons = Counter(o.reason for o in load.outcomes if o.reason)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -53,7 +53,7 @@
 
     def goodput(self) -> float:
         """Return whole answers a second."""
-        return sum(o.verdict is Verdict.ANSWERED and o.whole for o in self.outcomes) / SECONDS
+        return sum(o.verdict is Verdict.ANSWERED and o.is_complete for o in self.outcomes) / SECONDS
 
 
 @register("overload")
--- a/features/steps/breaker.py
+++ b/features/steps/breaker.py
@@ -14,7 +14,7 @@
 from hornbeamgw.core.verdict import Verdict
 from hornbeamgw.daemon import frames
 from hornbeamgw.daemon.gate import Gate
-from hornbeamgw.testing.asker import HEAD, Asker
+from hornbeamgw.testing.asker import HEAD, RecordingLink
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 NOW = 100.0
@@ -108,7 +108,7 @@
     host, port = context.scripted.sockets[0].getsockname()
     context.gate, context.asker, context.number = (
         Gate(lambda: EMPTY_SNAPSHOT, lambda: None),
-        Asker(),
+        RecordingLink(),
         0,
     )
     serving = ServerState.SERVING
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -23,7 +23,7 @@
 from hornbeamgw.core.verdict import Reason, Verdict, may_have_run, not_run
 from hornbeamgw.daemon import codec, datagrams, frames
 from hornbeamgw.daemon.gate import Announcement, Gate
-from hornbeamgw.testing.asker import HEAD, Asker
+from hornbeamgw.testing.asker import HEAD, RecordingLink
 from hornbeamgw.testing.rollout_model import simulate
 
 SERVICE = "roster"
@@ -295,7 +295,7 @@
     serving = ServerState.SERVING
     told = Announcement(SERVICE, f"{host}:{port}", 6, 9, serving, 1e12, "i-1", software="v1")
     context.gate.announce(told)
-    context.asker, context.asked = Asker(), 0
+    context.asker, context.asked = RecordingLink(), 0
 
 
 def ask(context, idempotent):
--- a/features/steps/server_ends.py
+++ b/features/steps/server_ends.py
@@ -14,7 +14,7 @@
 from hornbeamgw.daemon import frames
 from hornbeamgw.daemon.end_watch import CrashDetector
 from hornbeamgw.daemon.gate import Gate
-from hornbeamgw.testing.asker import HEAD, Asker
+from hornbeamgw.testing.asker import HEAD, RecordingLink
 from hornbeamgw.testing.local import wait_for
 
 
@@ -32,7 +32,7 @@
 
     context.ending = await asyncio.start_server(on_connection, "127.0.0.1", 0)
     host, port = context.ending.sockets[0].getsockname()
-    context.gate, context.asker = Gate(lambda: EMPTY_SNAPSHOT, lambda: None), Asker()
+    context.gate, context.asker = Gate(lambda: EMPTY_SNAPSHOT, lambda: None), RecordingLink()
     serving = ServerState.SERVING
     context.gate.announce(Announcement("lookup", f"{host}:{port}", 6, 9, serving, 1e12, "i-1"))
 
--- a/features/steps/servers.py
+++ b/features/steps/servers.py
@@ -23,7 +23,7 @@
 from hornbeamgw.daemon.gates import Gates
 from hornbeamgw.daemon.http_server import HttpServer, Timeouts, read_body, send_response
 from hornbeamgw.daemon.presence import TABLE, OwnRow, decode_member
-from hornbeamgw.testing.asker import Asker
+from hornbeamgw.testing.asker import RecordingLink
 from hornbeamgw.testing.local import wait_for
 
 KEY = "10.0.0.9:7400"
@@ -105,7 +105,7 @@
 def beside(context, name, version, slots):
     async def begin():
         context.rows, context.servers_by_name, context.sequence = Rows(), {}, 0
-        context.asker, context.number = Asker(), 0
+        context.asker, context.number = RecordingLink(), 0
         begin_daemon(context)
         context.row.found(None)
         await heard(context, name, version, slots)
--- a/hornbeamgw/testing/__init__.py
+++ b/hornbeamgw/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins and helpers that users may use in tests of their own."""
+"""Stand-in servers, simulations and helpers, which users may also use in their own tests."""
--- a/hornbeamgw/testing/asker.py
+++ b/hornbeamgw/testing/asker.py
@@ -1,4 +1,4 @@
-"""Asker: stands for the daemon that asks a gate, in tests of the gate alone."""
+"""Link stub for tests of a gate without a network."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 HEAD = heads.encode_request(heads.RequestHead(b"GET", b"/0/", [(b"host", b"test.example")]))
 
 
-class Asker:
-    """Keep what a gate sends to the daemon that asks; takes the place of its link."""
+class RecordingLink:
+    """Replacement for the link to a requesting daemon; records the frames that a gate sends."""
 
     def __init__(self) -> None:
-        """Start with nothing sent."""
+        """Create a link without recorded frames."""
         self.hello = self.peer = frames.Hello("f", "asker", 1)
         self.sent: list[frames.Frame] = []
 
     def send(self, frame: frames.Frame) -> None:
-        """Keep a frame."""
+        """Record a frame."""
         self.sent.append(frame)
--- a/hornbeamgw/testing/demo.py
+++ b/hornbeamgw/testing/demo.py
@@ -17,7 +17,7 @@
 from hornbeamgw.core.edit import EMPTY_CATALOGUE, Change, Edit, requested_changes
 from hornbeamgw.daemon.http1 import HttpClient
 from hornbeamgw.testing.fleet import Fleet, Node, Place, ask
-from hornbeamgw.testing.load import KINDS, Load, audit, call
+from hornbeamgw.testing.load import KINDS, LoadGenerator, audit, call
 from hornbeamgw.testing.stats import percentile
 
 CATALOGUES = ("catalogue/vatuwaqa.yaml", "catalogue/kijani.yaml")
@@ -67,7 +67,7 @@
         """Take a fleet whose platform runs."""
         self.fleet = fleet
         self.rng = rng
-        self.load = Load(self._callers, rng)
+        self.load = LoadGenerator(self._callers, rng)
         self.convergence_ms: list[float] = []
         self.reverts = 0
         self.dangling = 0
--- a/hornbeamgw/testing/load.py
+++ b/hornbeamgw/testing/load.py
@@ -1,4 +1,4 @@
-"""Load: calls of each class with request ids, and what their callers were told."""
+"""Load generator: calls with request ids, and an audit of the verdicts that callers received."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Kind(NamedTuple):
-    """Hold one kind of call and how often it is made among the others."""
+    """Kind of call; `weight` is its relative frequency, `size` the size of the answer in bytes."""
 
     name: str
     host: str
@@ -49,24 +49,24 @@
 
 
 class Outcome(NamedTuple):
-    """Hold what a caller was told about one request."""
+    """Result of one request for its caller; `at` is its start time, `elapsed` is in seconds."""
 
     request_id: str
     kind: Kind
     verdict: Verdict | None
-    whole: bool
+    is_complete: bool
     reason: str
     at: float
     elapsed: float
 
 
 def target_of(kind: Kind) -> str:
-    """Return the target of a request of this kind."""
+    """Return the request target of a kind of call."""
     return f"{kind.path}?size={kind.size}" if kind.size else kind.path
 
 
-def is_whole(kind: Kind, request_id: str, response: Response) -> bool:
-    """Return whether an answer is the backend server's whole answer to this request."""
+def is_complete_answer(kind: Kind, request_id: str, response: Response) -> bool:
+    """Return whether a response is the complete answer of the backend server to this request."""
     if kind.size:
         echoed = header(response.headers, b"x-request-id") == request_id.encode()
         return echoed and len(response.body) == kind.size
@@ -75,18 +75,18 @@
 
 
 async def call(client: HttpClient, kind: Kind, request_id: str) -> Outcome:
-    """Make one call and return what its caller was told."""
+    """Make one call and return its outcome."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     headers = [(b"host", kind.host.encode()), (b"x-request-id", request_id.encode())]
     verdict: Verdict | None
-    whole, reason = True, ""
+    is_complete, reason = True, ""
     try:
         response = await client.request(kind.method, target_of(kind), headers, kind.body)
-        told = header(response.headers, VERDICT)
-        verdict = Verdict(told.decode()) if told else Verdict.ANSWERED
+        verdict_header = header(response.headers, VERDICT)
+        verdict = Verdict(verdict_header.decode()) if verdict_header else Verdict.ANSWERED
         if verdict is Verdict.ANSWERED:
-            whole = response.status == 200 and is_whole(kind, request_id, response)
+            is_complete = response.status == 200 and is_complete_answer(kind, request_id, response)
         else:
             reason = str(msgspec.json.decode(response.body)["reason"])
     except ConnectionRefusedError:
@@ -94,13 +94,13 @@
     except (OSError, ConnectionLost, h11.ProtocolError) as error:
         verdict, reason = Verdict.MAY_HAVE_RUN, f"broken: {type(error).__name__}"
     except TimeoutError:
-        verdict, whole, reason = None, False, "no answer"
+        verdict, is_complete, reason = None, False, "no answer"
     elapsed = loop.time() - started
-    return Outcome(request_id, kind, verdict, whole, reason, started, elapsed)
+    return Outcome(request_id, kind, verdict, is_complete, reason, started, elapsed)
 
 
-class Load:
-    """Own the workers that call, and every outcome."""
+class LoadGenerator:
+    """Workers that make random calls, and the outcomes of these calls."""
 
     def __init__(
         self,
@@ -108,7 +108,7 @@
         rng: random.Random,
         kinds: Sequence[Kind] = KINDS,
     ) -> None:
-        """Take the callers' addresses in use now and the kinds of call."""
+        """Create a generator; `addresses` returns the addresses that accept calls at present."""
         self.outcomes: list[Outcome] = []
         self._addresses = addresses
         self._rng = rng
@@ -118,11 +118,11 @@
         self._workers: list[asyncio.Task[None]] = []
 
     def start(self, workers: int, pause: float) -> None:
-        """Start workers that pause (s) between calls, on average."""
+        """Start workers that pause between calls, on average for `pause` seconds."""
         self._workers = [asyncio.create_task(self._work(pause)) for _ in range(workers)]
 
     async def stop(self) -> None:
-        """Let each worker finish its call."""
+        """Stop all workers after their current calls."""
         self._stopping = True
         await asyncio.gather(*self._workers)
 
@@ -144,7 +144,11 @@
 
 
 class Audit(NamedTuple):
-    """Hold the count of what callers were told against what backend servers ran."""
+    """Verdicts that callers received, compared with the requests that backend servers ran.
+
+    `lost` counts missing, incomplete and wrong results, `doubled` non-idempotent requests that ran
+    more than once.
+    """
 
     calls: int
     answered: int
@@ -157,7 +161,7 @@
 
 
 def audit(outcomes: Iterable[Outcome], reports: Iterable[Mapping[str, Any]]) -> Audit:
-    """Compare outcomes with the records of all backend servers, by request id."""
+    """Compare outcomes with the reports of all backend servers, by request id."""
     runs: Counter[str] = Counter()
     for report in reports:
         runs.update(report["runs"])
@@ -165,15 +169,17 @@
     verdicts = Counter(outcome.verdict for outcome in outcomes)
     ran = [o for o in outcomes if runs[o.request_id]]
     wrong_not_run = sum(o.verdict is Verdict.NOT_RUN for o in ran)
-    unheard = sum(o.verdict is None for o in outcomes)
-    invented = sum(o.verdict is Verdict.ANSWERED and not runs[o.request_id] for o in outcomes)
-    not_whole = sum(not o.whole for o in outcomes if o.verdict is Verdict.ANSWERED)
+    without_verdict = sum(o.verdict is None for o in outcomes)
+    answered_not_run = sum(
+        o.verdict is Verdict.ANSWERED and not runs[o.request_id] for o in outcomes
+    )
+    not_whole = sum(not o.is_complete for o in outcomes if o.verdict is Verdict.ANSWERED)
     return Audit(
         len(outcomes),
         verdicts[Verdict.ANSWERED],
         verdicts[Verdict.NOT_RUN],
         verdicts[Verdict.MAY_HAVE_RUN],
-        unheard + invented + not_whole + wrong_not_run,
+        without_verdict + answered_not_run + not_whole + wrong_not_run,
         sum(runs[o.request_id] > 1 for o in outcomes if not o.kind.idempotent),
         wrong_not_run,
         not_whole,
--- a/hornbeamgw/testing/proxy.py
+++ b/hornbeamgw/testing/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy: carries connections to one address, and harms them as it is told to."""
+"""Loopback TCP proxy that injects network faults into the connections to one address."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 import contextlib
 from typing import NamedTuple
 
-CHUNK = 16 * 1024
+CHUNK_BYTES = 16 * 1024
 
 
-class Harm(NamedTuple):
-    """Say what a proxy does to what it carries; delays in seconds.
+class Impairment(NamedTuple):
+    """Network faults that a proxy injects; `delay_s` is added to each chunk.
 
-    A direction that is cut takes bytes and passes none on, as a path does that has lost track of
-    a connection; bytes taken meanwhile are never delivered.
+    Bytes read while a direction is dropped are discarded, as by a stateful firewall that has lost
+    track of the connection. With `refuse`, new connections are aborted.
     """
 
-    delay: float = 0.0
-    cut_forth: bool = False
-    cut_back: bool = False
+    delay_s: float = 0.0
+    drop_forward: bool = False
+    drop_backward: bool = False
     refuse: bool = False
 
 
-NO_HARM = Harm()
+NO_IMPAIRMENT = Impairment()
 
 
 class Proxy:
-    """Own the listening socket and the connections of one path."""
+    """A listening socket, and the connections that are forwarded to one address."""
 
     def __init__(self, target: str = "") -> None:
-        """Take the address to carry to; it may be set later."""
+        """Create a proxy; its target address may be set later."""
         self.target = target
         self.address = ""
-        self.harm = NO_HARM
+        self.impairment = NO_IMPAIRMENT
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -44,12 +44,12 @@
         return self.address
 
     def reset(self) -> None:
-        """Break every connection at once."""
+        """Abort all connections."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     def close(self) -> None:
-        """Stop to listen and break what is open."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -57,38 +57,38 @@
             task.cancel()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.harm.refuse:
+        if self.impairment.refuse:
             writer.transport.abort()
             return
         host, _, port = self.target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            upstream_reader, upstream_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
-        forth = self._spawn(self._carry(reader, far_writer, is_forth=True))
-        back = self._spawn(self._carry(far_reader, writer, is_forth=False))
-        await asyncio.wait([forth, back])
-        self._writers -= {writer, far_writer}
-        for ended in (writer, far_writer):
+        self._writers |= {writer, upstream_writer}
+        forward = self._spawn(self._forward(reader, upstream_writer, is_forward=True))
+        backward = self._spawn(self._forward(upstream_reader, writer, is_forward=False))
+        await asyncio.wait([forward, backward])
+        self._writers -= {writer, upstream_writer}
+        for ended in (writer, upstream_writer):
             ended.close()
 
-    def _spawn(self, carrying: object) -> asyncio.Task[None]:
-        task: asyncio.Task[None] = asyncio.create_task(carrying)  # type: ignore[arg-type]
+    def _spawn(self, forwarding: object) -> asyncio.Task[None]:
+        task: asyncio.Task[None] = asyncio.create_task(forwarding)  # type: ignore[arg-type]
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    async def _carry(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_forth: bool
+    async def _forward(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_forward: bool
     ) -> None:
         with contextlib.suppress(OSError):
-            while data := await reader.read(CHUNK):
-                harm = self.harm
-                if harm.delay:
-                    await asyncio.sleep(harm.delay)
-                if harm.cut_forth if is_forth else harm.cut_back:
+            while data := await reader.read(CHUNK_BYTES):
+                impairment = self.impairment
+                if impairment.delay_s:
+                    await asyncio.sleep(impairment.delay_s)
+                if impairment.drop_forward if is_forward else impairment.drop_backward:
                     continue
                 writer.write(data)
                 await writer.drain()
--- a/hornbeamgw/testing/stats.py
+++ b/hornbeamgw/testing/stats.py
@@ -1,4 +1,4 @@
-"""Percentiles of measured samples."""
+"""Percentiles of samples."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def percentile(samples: Sequence[float], percent: float) -> float:
-    """Return the nearest-rank percentile; raise ValueError without samples."""
+    """Return the nearest-rank percentile; raise ValueError if there are no samples."""
     if not samples:
-        raise ValueError("no samples to take a percentile of")
+        raise ValueError("percentile of an empty sequence")
     ordered = sorted(samples)
     rank = max(1, math.ceil(percent / 100 * len(ordered)))
     return ordered[rank - 1]
--- a/hornbeamgw/testing/template.py
+++ b/hornbeamgw/testing/template.py
@@ -1,4 +1,4 @@
-"""Template: fills in the deploy template as the users' platform does, as far as ours goes."""
+"""Renderer for the subset of the template language that the deployment template uses."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 import msgspec
 
-SECTION = re.compile(r"\{\{([#^])([\w.]+)\}\}(.*?)\{\{/\2\}\}", re.DOTALL)
-PLACEHOLDER = re.compile(r"\{\{([\w.]+)(\|json)?\}\}")
+SECTION_PATTERN = re.compile(r"\{\{([#^])([\w.]+)\}\}(.*?)\{\{/\2\}\}", re.DOTALL)
+PLACEHOLDER_PATTERN = re.compile(r"\{\{([\w.]+)(\|json)?\}\}")
 
 
 def value_at(fields: Any, path: str) -> Any:
-    """Return the value at a dotted path, or None where there is none."""
+    """Return the value at a dotted path, or None if it does not exist."""
     for name in path.split("."):
         if isinstance(fields, list):
             fields = fields[int(name)] if int(name) < len(fields) else None
@@ -23,18 +23,20 @@
 
 
 def render(template: str, fields: Mapping[str, Any]) -> str:
-    """Return a template as the platform fills it in, as far as ours uses its language."""
+    """Render sections and placeholders as the deployment platform does."""
 
-    def section(found: re.Match[str]) -> str:
-        value = value_at(fields, found[2])
-        is_there = value is not None and value is not False
-        return render(found[3], fields) if is_there == (found[1] == "#") else ""
+    def render_section(match: re.Match[str]) -> str:
+        value = value_at(fields, match[2])
+        is_present = value is not None and value is not False
+        return render(match[3], fields) if is_present == (match[1] == "#") else ""
 
-    def placeholder(found: re.Match[str]) -> str:
-        value = value_at(fields, found[1])
+    def render_placeholder(match: re.Match[str]) -> str:
+        value = value_at(fields, match[1])
         if value is None:
             return ""
-        is_json = found[2] or not isinstance(value, str)
+        is_json = match[2] or not isinstance(value, str)
         return msgspec.json.encode(value).decode() if is_json else value
 
-    return PLACEHOLDER.sub(placeholder, SECTION.sub(section, template))
+    return PLACEHOLDER_PATTERN.sub(
+        render_placeholder, SECTION_PATTERN.sub(render_section, template)
+    )
--- a/properties/fleet_soak.py
+++ b/properties/fleet_soak.py
@@ -20,8 +20,8 @@
 from hornbeamgw.core.edit import Change, Edit
 from hornbeamgw.testing.demo import example_edit
 from hornbeamgw.testing.fleet import Child, Fleet, Node, Place, ask
-from hornbeamgw.testing.load import Audit, Load, audit
-from hornbeamgw.testing.proxy import NO_HARM, Harm, Proxy
+from hornbeamgw.testing.load import Audit, LoadGenerator, audit
+from hornbeamgw.testing.proxy import NO_IMPAIRMENT, Impairment, Proxy
 
 SERVICES = ("slot-desk", "booking-payment", "roster", "planner", "reservation", "fixtures")
 WORKERS = 8
@@ -71,7 +71,7 @@
         self.platform = platform
         self.servers: list[Proxy] = []
         self.callers: dict[str, Proxy] = {}
-        self.load = Load(self._addresses, rng)
+        self.load = LoadGenerator(self._addresses, rng)
         self.faults: Counter[str] = Counter()
         self.reverted = self.cut_off = self.edits = 0
         self.harmed: Counter[str] = Counter()
@@ -133,19 +133,19 @@
         self.faults[f"path {kind}"] += 1
         self.harmed["paths"] += 1
         harms = {
-            "delay": Harm(delay=self.rng.uniform(0.01, 0.3)),
-            "cut_forth": Harm(cut_forth=True),
-            "cut_back": Harm(cut_back=True),
-            "silence": Harm(cut_forth=True, cut_back=True),
-            "refuse": Harm(refuse=True),
+            "delay": Impairment(delay_s=self.rng.uniform(0.01, 0.3)),
+            "cut_forth": Impairment(drop_forward=True),
+            "cut_back": Impairment(drop_backward=True),
+            "silence": Impairment(drop_forward=True, drop_backward=True),
+            "refuse": Impairment(refuse=True),
         }
-        proxy.harm = harms.get(kind, NO_HARM)
+        proxy.impairment = harms.get(kind, NO_IMPAIRMENT)
         if kind in ("refuse", "reset"):
             proxy.reset()
         await asyncio.sleep(self.rng.uniform(0.3, 3.0))
-        if proxy.harm.cut_forth or proxy.harm.cut_back:
+        if proxy.impairment.drop_forward or proxy.impairment.drop_backward:
             proxy.reset()
-        proxy.harm = NO_HARM
+        proxy.impairment = NO_IMPAIRMENT
 
     async def one_fault(self) -> None:
         """Draw one fault and carry it out; one at a time for a daemon's own process."""
--- a/properties/planned_load.py
+++ b/properties/planned_load.py
@@ -22,7 +22,7 @@
     header,
     normalise_headers,
 )
-from hornbeamgw.testing.load import KINDS, Kind, Outcome, is_whole, target_of
+from hornbeamgw.testing.load import KINDS, Kind, Outcome, is_complete_answer, target_of
 
 # What a caller waits for beyond its deadline: answers that have begun arrive also when late.
 PATIENCE_S = 4.0
@@ -125,7 +125,7 @@
     if told:
         return Verdict(told.decode()), True, str(msgspec.json.decode(answer.body)["reason"])
     response = Response(answer.status, answer.headers, bytes(answer.body))
-    whole = answer.status == 200 and is_whole(kind, request_id, response)
+    whole = answer.status == 200 and is_complete_answer(kind, request_id, response)
     return Verdict.ANSWERED, whole, ""
 
 
--- a/properties/planned_soak.py
+++ b/properties/planned_soak.py
@@ -305,7 +305,7 @@
         facts = {
             "said_not_run_but_ran": bool(ran) and outcome.verdict is Verdict.NOT_RUN,
             "ran_twice": len(ran) > 1 and not outcome.kind.idempotent,
-            "not_whole": not outcome.whole and outcome.verdict is Verdict.ANSWERED,
+            "not_whole": not outcome.is_complete and outcome.verdict is Verdict.ANSWERED,
             "not_of_a_server": not ran and outcome.verdict is Verdict.ANSWERED,
             "unheard": outcome.verdict is None,
         }
