--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -37,7 +37,7 @@
     "faulty servers": EnvironmentFaults(faulty_server_ratio=0.15),
     "burst": EnvironmentFaults(faulty_server_ratio=0.1, burst_factor=1.4),
     "platform away": EnvironmentFaults(has_platform_outage=True),
-    "leader ends": EnvironmentFaults(leader_crashes=True),
+    "leader ends": EnvironmentFaults(has_leader_outage=True),
     "restarts": EnvironmentFaults(restarted_daemon_ratio=0.5),
 }
 
--- a/hornbeamgw/testing/rollout_model.py
+++ b/hornbeamgw/testing/rollout_model.py
@@ -75,7 +75,7 @@
     faulty_server_ratio: float = 0.0
     burst_factor: float = 1.0
     has_platform_outage: bool = False
-    leader_crashes: bool = False
+    has_leader_outage: bool = False
     restarted_daemon_ratio: float = 0.0
 
 
@@ -190,8 +190,8 @@
         self._outage_at = (
             self.rng.uniform(0.5, self.duration) if self.environment.has_platform_outage else 1e9
         )
-        ends_at = self.rng.uniform(0.1, self.duration)
-        self._leader_crash_at = ends_at if self.environment.leader_crashes else 1e9
+        leader_outage_at = self.rng.uniform(0.1, self.duration)
+        self._leader_outage_at = leader_outage_at if self.environment.has_leader_outage else 1e9
 
     def _schedule(self, time: float, action: Callable[[], None]) -> None:
         self._sequence += 1
@@ -311,7 +311,7 @@
             return
         exposure.record_sent(state, SERVICE, server.member.software)
         if server.running >= self.load.slots:
-            # No free slot: the attempt is refused and retried on the old servers.
+            # The attempt is refused for lack of a free slot and retried on the old servers.
             if is_first:
                 self._send(daemon, route, False)
             return
@@ -336,8 +336,7 @@
         if server.member.software != NEW or not self._is_bad_version():
             return
         self.exposed += 1
-        # The exposure bound covers all requests until the order is due; this counts requests sent
-        # to the bad version after the time allowed for a rollback.
+        # A bad version must not receive requests once the time allowed for a rollback is over.
         if self.now > self.rollback_due_at + ROLLBACK_LIMIT_S:
             self.sent_after_rollback += 1
 
@@ -394,7 +393,7 @@
         server.non_idempotent_running -= not run.is_idempotent
         if server.is_stopped:
             self.cut_off += 1
-            # A request that had already passed its deadline is not counted as cut off.
+            # Past the deadline the caller has already given up, so the stop loses nothing.
             is_in_time = self.now < run.started + DEADLINE_S
             self.non_idempotent_cut_off += not run.is_idempotent and is_in_time
             failure = BACKEND_FAILURE
@@ -458,7 +457,7 @@
                 server.sent_at = self.now
                 self._send_tally(server)
         for rank, leader in enumerate(self.leaders):
-            if rank > 0 or not self._leader_crash_at <= self.now <= self._leader_crash_at + 2.0:
+            if rank > 0 or not self._leader_outage_at <= self.now <= self._leader_outage_at + 2.0:
                 self._lead(leader)
 
     def _send_tally(self, server: _Server) -> None:
--- a/hornbeamgw/testing/simulated.py
+++ b/hornbeamgw/testing/simulated.py
@@ -61,6 +61,8 @@
 
 
 class _Run(NamedTuple):
+    """A running request; `end` and `started_at` are in seconds."""
+
     end: float
     attempt: AttemptId
     server: int
