--- a/features/steps/findings.py
+++ b/features/steps/findings.py
@@ -120,7 +120,7 @@
 @then('nothing is refused, and "{name}" must run apart')
 def apart(context, name):
     assert not refused(context), context.state.periods_by_fingerprint
-    assert quarantine.must_run_isolated(context.state, number_for(name))
+    assert quarantine.is_crash_suspect(context.state, number_for(name))
 
 
 @then('nothing is refused, and "{name}" must not run apart')
@@ -131,7 +131,7 @@
 
 @then('"{name}" must not run apart')
 def not_apart(context, name):
-    assert not quarantine.must_run_isolated(context.state, number_for(name))
+    assert not quarantine.is_crash_suspect(context.state, number_for(name))
 
 
 @then('its record tells the others that "{name}" was answered')
--- a/features/steps/sampling.py
+++ b/features/steps/sampling.py
@@ -63,7 +63,7 @@
 
 @then("no server is asked")
 def none_asked(context):
-    assert not sampling.should_ask(context.choice)
+    assert not sampling.should_query(context.choice)
 
 
 @when("one of them is known to be three times as fast as the rest")
@@ -74,9 +74,9 @@
 
 @then("all servers asked first are of the own data centre, and that one is among them")
 def near(context):
-    assert sampling.should_ask(context.choice)
+    assert sampling.should_query(context.choice)
     asked = sampling.sample(context.choice, True, random.Random(1))
-    assert len(asked) == sampling.ASKED_FASTEST + sampling.ASKED_AT_RANDOM
+    assert len(asked) == sampling.QUERIED_FASTEST + sampling.QUERIED_AT_RANDOM
     assert {c.member.data_centre for c in asked} == {"dc-0"}
     assert context.fast in asked
 
@@ -84,7 +84,7 @@
 @then("those asked next are of other data centres")
 def far(context):
     asked = sampling.sample(context.choice, False, random.Random(1))
-    assert len(asked) == sampling.ASKED_FASTEST + sampling.ASKED_REMOTE_AT_RANDOM
+    assert len(asked) == sampling.QUERIED_FASTEST + sampling.QUERIED_REMOTE_AT_RANDOM
     assert "dc-0" not in {c.member.data_centre for c in asked}
 
 
--- a/hornbeamgw/backends/base.py
+++ b/hornbeamgw/backends/base.py
@@ -25,7 +25,7 @@
     async def transact(self, writes: Sequence[Write]) -> bool:
         """Apply all writes, or none if a condition is not met; return whether they were applied.
 
-        Raises PlatformError if the outcome is unknown.
+        Raises PlatformError if the request fails; the writes may still have taken effect.
         """
 
 
--- a/hornbeamgw/backends/http_platform.py
+++ b/hornbeamgw/backends/http_platform.py
@@ -75,7 +75,7 @@
     async def transact(self, writes: Sequence[Write]) -> bool:
         """Apply all writes, or none if a condition is not met; return whether they were applied.
 
-        Raises PlatformError if the outcome is unknown.
+        Raises PlatformError if the request fails; the writes may still have taken effect.
         """
         body = msgspec.json.encode([_encode_write(write) for write in writes])
         response = await send_request(self._client, "POST", "/table", body)
--- a/hornbeamgw/backends/rows.py
+++ b/hornbeamgw/backends/rows.py
@@ -18,10 +18,11 @@
 
 
 class RowPage(NamedTuple):
-    """Rows of one response, with the revision and the monotonic clock (s) of the store.
+    """Rows of one response, with the state of the store at that time.
 
-    The revision of the store increases with each transaction. `era` increases when the store is
-    restored from a backup; revisions of different eras are not comparable.
+    `revision` increases with each transaction. `store_time` is the store's monotonic clock in
+    seconds. `era` increases each time the store is restored from a backup, which loses the writes
+    made since the backup; revisions of different eras are not comparable.
     """
 
     rows: Sequence[StoredRow]
@@ -42,7 +43,8 @@
     async def watch(self, table: str, after_revision: int, wait: float) -> RowPage | None:
         """Return rows changed after a revision, waiting up to `wait` seconds for a change.
 
-        Returns None if the store no longer has all changes since that revision.
+        Returns a page without rows if the wait ends without a change, and None if the store no
+        longer has all changes since that revision.
         """
 
     async def write(
--- a/hornbeamgw/commands/fleet.py
+++ b/hornbeamgw/commands/fleet.py
@@ -15,10 +15,12 @@
 from hornbeamgw.commands.daemon import OutputArg
 from hornbeamgw.commands.exits import ExitCode
 from hornbeamgw.commands.output import fail, print_json, print_rows, print_table
-from hornbeamgw.commands.plots import plot_histograms, plot_timeline
+from hornbeamgw.commands.plots import plot_latency_percentiles, plot_timeline
 from hornbeamgw.daemon.http1 import ConnectionLost
 
 BAR_WIDTH_CHARS = 40
+# Counts of each daemon since it received a rollout order: requests that reached any server of the
+# service, requests sent to the new version, answers of the new version, and bad ones among these.
 ROLLOUT_COUNTER_KEYS = ("reached", "sent", "answers", "bad")
 
 PlotArg = Annotated[str, cappa.Arg(long="--plot", help="write a plot to this PNG or SVG file")]
@@ -153,7 +155,7 @@
         """Print the histograms; with --plot, also write a plot."""
         rows = request_or_fail(self.daemon, "GET", "/histograms")
         if self.plot:
-            plot_histograms(rows, self.plot)
+            plot_latency_percentiles(rows, self.plot)
         columns = ("owner", "class", "verdict", "count", "p50_ms", "p90_ms", "p99_ms", "max_ms")
         print_rows(rows, columns, self.output)
 
--- a/hornbeamgw/commands/plots.py
+++ b/hornbeamgw/commands/plots.py
@@ -54,7 +54,7 @@
     _save(figure, path)
 
 
-def plot_histograms(rows: Sequence[Mapping[str, Any]], path: str) -> None:
+def plot_latency_percentiles(rows: Sequence[Mapping[str, Any]], path: str) -> None:
     """Plot latency percentiles for each owner, class and verdict, in ms on a logarithmic scale."""
     figure, axes = _axes("latency by owner, class and verdict", 3 * len(rows))
     names = [f"{r['owner']} {r['class']} {r['verdict']} (n={r['count']})" for r in rows]
--- a/hornbeamgw/core/admission.py
+++ b/hornbeamgw/core/admission.py
@@ -165,7 +165,8 @@
 def admit(state: AdmissionState, request: Request, service: str, now: float) -> Decision:
     """Start, queue or refuse a request that has just arrived.
 
-    A request whose attempt is already recorded is a duplicate, or was fenced, and is refused.
+    A request whose attempt is already recorded is refused: it is a duplicate, or `resolve` fenced
+    the attempt, that is, reported to the caller's daemon that it did not run.
     """
     record = state.records_by_attempt.get(request.attempt)
     if record is not None:
@@ -195,7 +196,7 @@
 
 
 def next_decisions(state: AdmissionState, now: float) -> list[Decision]:
-    """Refuse queued requests that would end too late and start those that find a slot."""
+    """Refuse queued requests that would end too late, and start those for which a slot is free."""
     if not state.queue:
         return []
     timed_out = state.policy.too_late(state, now)
@@ -261,7 +262,10 @@
 
 
 def resolve(state: AdmissionState, attempt: AttemptId, age: float, now: float) -> Verdict:
-    """Return whether an attempt made `age` seconds ago may have run; fence it if not admitted."""
+    """Return whether an attempt made `age` seconds ago may have run.
+
+    An attempt that was not admitted is fenced: it is refused if it arrives later.
+    """
     record = state.records_by_attempt.get(attempt)
     if record is None and age >= ATTEMPT_RETENTION_S:
         return Verdict.MAY_HAVE_RUN
--- a/hornbeamgw/core/crossing.py
+++ b/hornbeamgw/core/crossing.py
@@ -34,7 +34,7 @@
 TIE_BREAK_LOSS = 0.002
 # Larger bodies are sent to another data centre only after the daemon there has agreed to accept the
 # call, since a refusal would waste the transfer.
-ASK_FIRST_MIN_BYTES = 512
+QUERY_FIRST_MIN_BYTES = 512
 
 
 def late_probability(traits: RouteTraits, slowness: float, wait: float, time_left: float) -> float:
@@ -127,9 +127,9 @@
     return RemoteReason.NEAR_REFUSED if set(local) <= set(choice.tried) else RemoteReason.NEAR_LATE
 
 
-def should_ask_first(me: Member, chosen: Candidate, body_size: int) -> bool:
-    """Return whether the server's daemon is asked before a body of `body_size` bytes is sent."""
-    return chosen.member.data_centre != me.data_centre and body_size >= ASK_FIRST_MIN_BYTES
+def should_query_first(me: Member, chosen: Candidate, body_size: int) -> bool:
+    """Return whether to query the server's daemon before a body of `body_size` bytes is sent."""
+    return chosen.member.data_centre != me.data_centre and body_size >= QUERY_FIRST_MIN_BYTES
 
 
 @register_chooser("in_time")
--- a/hornbeamgw/core/exposure.py
+++ b/hornbeamgw/core/exposure.py
@@ -22,21 +22,22 @@
 # daemons that receive an order late.
 USABLE_SHARE_RATIO = 0.9
 USABLE_SLACK_RATIO = 0.7
-# Fraction of the allowed requests that the trial may use; the rest is for the full move, in which
-# all requests go to the new version shortly before the decision. The trial may also use the slack,
-# up to the maximum fraction: at a low request rate the full move shows little about how a version
-# behaves under load.
-TRIAL_RATIO = 0.4
-MAX_TRIAL_RATIO = 0.75
-# Servers on trial take turns, one group at a time. In each turn the trial is open only for a
-# short time, so that the allowed requests arrive as a burst that fills the slots: a version that
-# fails under load is detected. A small fraction of requests goes to any server of the new version,
-# so that none is idle until its turn.
-TRIAL_GROUPS = 25
-TURN_OPEN_RATIO = 0.1
+# Fraction of the allowed requests that the canary phase (`Phase.TRIAL`) may use; the rest is for
+# the full move, in which all requests go to the new version shortly before the decision. The canary
+# phase may also use the slack, up to the maximum fraction: at a low request rate the full move
+# shows little about how a version behaves under load.
+CANARY_RATIO = 0.4
+MAX_CANARY_RATIO = 0.75
+# The canary servers (servers of the new version) are divided into groups, and each canary period
+# selects the next group. Canary requests are sent only during a short time at the start of a
+# period, so that they arrive as a burst that fills the slots: a version that fails under load is
+# detected. Outside this time, a small fraction of requests goes to any canary server, so that none
+# is idle until its group is selected.
+CANARY_GROUPS = 25
+CANARY_OPEN_RATIO = 0.1
 MIN_OPEN_S = 0.2
-MIN_TURN_S = 0.5
-BACKGROUND_TRIAL_RATIO = 0.003
+MIN_CANARY_PERIOD_S = 0.5
+BACKGROUND_CANARY_RATIO = 0.003
 # Time for which servers of a version that has just appeared get no requests, as an order to roll it
 # out may follow.
 NEW_VERSION_HOLD_S = 1.0
@@ -48,7 +49,7 @@
 
 
 class ExposureBound(NamedTuple):
-    """Limit of the requests to a version on trial: a share of all requests, plus a fixed slack."""
+    """Limit of the requests to a canary version: a share of all requests, plus a fixed slack."""
 
     share: float
     slack: float
@@ -84,7 +85,7 @@
 
 
 class ExposureState:
-    """Rollout statuses received by this daemon, and what it sent to versions on trial."""
+    """Rollout statuses received by this daemon, and the requests it sent to canary versions."""
 
     def __init__(self, bound: ExposureBound) -> None:
         """Create a state without rollouts; the bound applies to the whole fleet."""
@@ -123,7 +124,7 @@
 def record_versions(
     state: ExposureState, service: str, versions: Collection[str], now: float
 ) -> None:
-    """Record the time at which versions of a service were first seen on a server."""
+    """Record the time at which software versions of a service were first seen on a server."""
     for software in versions:
         state.first_seen_by_version.setdefault((service, software), now)
     while len(state.first_seen_by_version) > MAX_VERSIONS:
@@ -138,14 +139,14 @@
 
 
 def record_sent(state: ExposureState, service: str, software: str) -> None:
-    """Count a request that is being sent to a version."""
+    """Count a request that is being sent to a server of a software version."""
     counts = state.counts_by_version.get((service, software))
     if counts is not None:
         counts.sent += 1
 
 
 def record_answer(state: ExposureState, service: str, software: str, is_bad: bool) -> None:
-    """Count an answer of a version."""
+    """Count an answer of a server of a software version, and whether it is bad."""
     counts = state.counts_by_version.get((service, software))
     if counts is not None:
         counts.answers += 1
@@ -157,7 +158,7 @@
 
 
 def _has_room(state: ExposureState, status: RolloutStatus, rng: random.Random) -> bool:
-    """Return whether one more request may go to a version on trial.
+    """Return whether one more request may go to a canary version.
 
     The limit is rounded up or down at random, so that the fleet as a whole reaches its limit.
     """
@@ -167,20 +168,20 @@
     slack = USABLE_SLACK_RATIO * state.bound.slack / state.fleet_size
     allowed = USABLE_SHARE_RATIO * state.bound.share * counts.reached + slack
     if status.phase is Phase.TRIAL:
-        allowed = trial_allowance(allowed, slack)
+        allowed = canary_allowance(allowed, slack)
     return counts.sent + rng.random() <= allowed
 
 
-def trial_allowance(allowed: float, slack: float) -> float:
-    """Return how many of the allowed requests, which include the slack, the trial may use."""
-    return min(MAX_TRIAL_RATIO * allowed, TRIAL_RATIO * allowed + slack)
+def canary_allowance(allowed: float, slack: float) -> float:
+    """Return how many of the allowed requests (including the slack) the canary phase may use."""
+    return min(MAX_CANARY_RATIO * allowed, CANARY_RATIO * allowed + slack)
 
 
 class Arm(enum.Enum):
     """Group of a service's servers from which the server for a request is selected."""
 
     BEFORE = "before"  # servers of versions in use
-    TURN = "turn"  # servers of the new version whose trial turn it is
+    TURN = "turn"  # canary servers that are selected in the current canary period
     NEW = "new"  # all servers of the new version
     WAIT = "wait"  # none yet: old servers are about to be stopped and the exposure limit is reached
 
@@ -200,10 +201,10 @@
     if not request.is_first_attempt or not _has_room(state, current, rng):
         return Arm.BEFORE
     if current.phase is Phase.TRIAL:
-        turn_s = turn_seconds(current)
-        if wall_time % turn_s < max(MIN_OPEN_S, TURN_OPEN_RATIO * turn_s):
+        period_s = canary_period_seconds(current)
+        if wall_time % period_s < max(MIN_OPEN_S, CANARY_OPEN_RATIO * period_s):
             return Arm.TURN
-        return Arm.NEW if rng.random() < BACKGROUND_TRIAL_RATIO else Arm.BEFORE
+        return Arm.NEW if rng.random() < BACKGROUND_CANARY_RATIO else Arm.BEFORE
     return Arm.NEW if request.length_s * 1000 >= current.length_ms else Arm.BEFORE
 
 
@@ -232,9 +233,9 @@
     return current.step if current.closing is Closing.CLOSED else 0
 
 
-def turn_seconds(status: RolloutStatus) -> float:
-    """Return the length in seconds of a turn of servers on trial."""
-    return max(MIN_TURN_S, status.length_ms / 1000)
+def canary_period_seconds(status: RolloutStatus) -> float:
+    """Return the length in seconds of a canary period, in which one group of servers is tested."""
+    return max(MIN_CANARY_PERIOD_S, status.length_ms / 1000)
 
 
 def new_servers(state: ExposureState, service: str, servers: Sequence[Member]) -> list[Member]:
@@ -278,15 +279,18 @@
     return is_later and now < seen + NEW_VERSION_HOLD_S
 
 
-def servers_on_turn(servers: Sequence[Member], turn_s: float, wall_time: float) -> list[Member]:
-    """Return the servers whose trial turn it is.
+def active_canary_servers(
+    servers: Sequence[Member], period_s: float, wall_time: float
+) -> list[Member]:
+    """Return the canary servers that are selected in the current canary period.
 
-    `turn_s` is the length of a turn in seconds and `wall_time` the Unix time in seconds. Daemons
-    with different clocks select different servers, which only spreads a burst over more servers.
+    `period_s` is the length of a period in seconds and `wall_time` the Unix time in seconds.
+    Daemons with different clocks select different servers, which only spreads a burst over more
+    servers.
     """
     if not servers:
         return []
     ordered = sorted(servers, key=server_key)
-    width = math.ceil(len(ordered) / TRIAL_GROUPS)
-    first = int(wall_time / turn_s) * width
+    width = math.ceil(len(ordered) / CANARY_GROUPS)
+    first = int(wall_time / period_s) * width
     return [ordered[(first + index) % len(ordered)] for index in range(width)]
--- a/hornbeamgw/core/floor.py
+++ b/hornbeamgw/core/floor.py
@@ -20,7 +20,7 @@
 
 
 class FloorDecision(NamedTuple):
-    """The floor, or None and a description of what the daemon waits for."""
+    """The floor, or None if it can't be determined yet; `waits_for` is the peer or answer missing."""
 
     floor: int | None
     waits_for: str
@@ -29,9 +29,10 @@
 def decide(
     answers_by_peer: Mapping[str, FloorAnswer | None], alive_peers: frozenset[str]
 ) -> FloorDecision:
-    """Determine the floor from the answers of all peers in the data centre.
+    """Determine the floor, the lowest catalogue version that this daemon may apply.
 
-    The answer of a peer that did not respond is None.
+    `answers_by_peer` contains all peers in the data centre, with None for each peer that did not
+    respond.
     """
     confirmed = [a.version for a in answers_by_peer.values() if a and a.confirmed]
     if confirmed:
--- a/hornbeamgw/core/membership.py
+++ b/hornbeamgw/core/membership.py
@@ -157,7 +157,7 @@
 INDIRECT_PROBE_COUNT = 3
 MAX_GOSSIP_RECORDS = 10
 RETRANSMIT_FACTOR = 2
-# One probe in this many goes to a dead member, on average.
+# On average, one in this number of probes goes to a dead member.
 DEAD_PROBE_INTERVAL_TICKS = 10
 # A daemon that restarts while the platform's store is unavailable knows no other member and joins
 # through the first one that contacts it. The fleet as a whole therefore probes each member that
@@ -177,7 +177,7 @@
 
 
 class _Pending(NamedTuple):
-    """A probe without an answer; `indirect` is set once other members were asked to probe, too."""
+    """A probe without an answer; `indirect` is True once other members have been requested to probe it."""
 
     target: str
     sent_at: float
--- a/hornbeamgw/core/quarantine.py
+++ b/hornbeamgw/core/quarantine.py
@@ -85,7 +85,11 @@
     """Findings of this daemon and of all others, and the resulting quarantines."""
 
     def __init__(self, address: str, first_number: int) -> None:
-        """Start empty; `first_number` must exceed all finding numbers used before a restart."""
+        """Create an empty state; this daemon's findings are numbered from `first_number`.
+
+        It must exceed all numbers that the daemon used before a restart, since other daemons ignore
+        a finding whose address and number they have already received.
+        """
         self.address = address
         self.next_number = first_number
         self.announced: list[AnnouncedFinding] = []
@@ -127,8 +131,11 @@
         _announce_quarantined(state, fingerprint, is_persistent=False)
 
 
-def must_run_isolated(state: QuarantineState, fingerprint: int) -> bool:
-    """Return whether a request must not run concurrently with another suspect."""
+def is_crash_suspect(state: QuarantineState, fingerprint: int) -> bool:
+    """Return whether a request may have crashed servers.
+
+    Such a request must not run concurrently with another one, so that a crash identifies its cause.
+    """
     if fingerprint in state.periods_by_fingerprint:
         return True
     return len(state.report_ids_by_fingerprint.get(fingerprint, ())) >= CRASHES_TO_ISOLATE
@@ -142,7 +149,7 @@
     state.answered.move_to_end(fingerprint)
     while len(state.answered) > MAX_ANSWERED:
         state.answered.popitem(last=False)
-    is_suspect = must_run_isolated(state, fingerprint)
+    is_suspect = is_crash_suspect(state, fingerprint)
     cleared = _clear_answered(state, (fingerprint,), now) if is_suspect else []
     return QuarantineChanges(_quarantine_causes(state, (), now), cleared) if cleared else NO_CHANGES
 
@@ -191,8 +198,8 @@
         if announced.kind is FindingKind.QUARANTINED
         for f in announced.fingerprints
     ]
-    suspects = [f for f in reported if must_run_isolated(state, f)]
-    cleared += _clear_answered(state, (*suspects, *refused), now)
+    crash_suspects = [f for f in reported if is_crash_suspect(state, f)]
+    cleared += _clear_answered(state, (*crash_suspects, *refused), now)
     quarantined |= _quarantine_causes(state, reported, now)
     return QuarantineChanges(
         {f: reporters for f, reporters in quarantined.items() if f not in cleared}, cleared
@@ -364,9 +371,9 @@
     return _remove_from_reports(state, fingerprint) or was_quarantined
 
 
-def _clear_answered(state: QuarantineState, suspects: Iterable[int], now: float) -> list[int]:
-    """Clear those suspects that the local server has answered, and announce the answers."""
-    cleared = [f for f in dict.fromkeys(suspects) if f in state.answered]
+def _clear_answered(state: QuarantineState, fingerprints: Iterable[int], now: float) -> list[int]:
+    """Clear those requests that the local server has answered, and announce the answers."""
+    cleared = [f for f in dict.fromkeys(fingerprints) if f in state.answered]
     for fingerprint in cleared:
         _clear(state, fingerprint, now)
     if cleared:
--- a/hornbeamgw/core/rollout.py
+++ b/hornbeamgw/core/rollout.py
@@ -1,10 +1,10 @@
 """Rollout leader: moves a service's requests to servers of a new version on an operator's order.
 
-A rollout starts with a trial, in which the new version gets a small share of the requests. Shortly
-before the order is due, all requests are moved, the longest first, so that few are still running on
-the old servers when these are stopped. The full move is kept short, since it may be the first time
-that the version runs under full load. If the version answers worse than the old one, the rollout is
-rolled back at once.
+A rollout starts with a canary phase, in which the new version gets a small share of the requests.
+Shortly before the order is due, all requests are moved, the longest first, so that few are still
+running on the old servers when these are stopped. The full move is kept short, since it may be the
+first time that the version runs under full load. If the version answers worse than the old one, the
+rollout is rolled back at once.
 
 Old servers are stopped without draining, so they are drained before the order is completed.
 Requests that are not idempotent are withheld from the old servers shortly before the decision, as
@@ -30,11 +30,11 @@
     EvidenceState,
 )
 from hornbeamgw.core.exposure import (
-    MIN_TURN_S,
+    MIN_CANARY_PERIOD_S,
     USABLE_SHARE_RATIO,
     USABLE_SLACK_RATIO,
     ExposureBound,
-    trial_allowance,
+    canary_allowance,
 )
 from hornbeamgw.core.standing import MOVE_NONE_MS, Closing, Phase, RolloutStatus, supersedes
 
@@ -61,11 +61,11 @@
 # The number of requests that the exposure bound still allows determines the actual time.
 MIN_FULL_MOVE_S = 0.6
 MAX_FULL_MOVE_S = 2.0
-# Requests per slot that a server receives in its trial turn.
+# Requests per slot that a canary server receives in a canary period in which it is selected.
 BURST_REQUESTS_PER_SLOT = 2.0
-MAX_TURN_S = 6.0
-# A new turn length is published when it is at least this many times the last one.
-TURN_UPDATE_FACTOR = 1.5
+MAX_CANARY_PERIOD_S = 6.0
+# A new length of the canary period is published when it is at least this many times the last one.
+PERIOD_UPDATE_FACTOR = 1.5
 # Delay of a rollback after the decision is due, in which inconclusive evidence may still improve.
 DOUBT_GRACE_S = 0.6
 # Time until the membership list of a fleet that has just started is considered complete.
@@ -129,22 +129,22 @@
 
 def full_move_seconds(state: RolloutState, at: float) -> float:
     """Return the length in seconds of the full move that the exposure bound still allows."""
-    allowed, on_trial = _allowed_requests(
+    allowed, canary_allowed = _allowed_requests(
         state, max(1.0, at - state.received_at), _request_rate(state, at)
     )
     return min(
-        MAX_FULL_MOVE_S, max(MIN_FULL_MOVE_S, (allowed - on_trial) / _request_rate(state, at))
+        MAX_FULL_MOVE_S, max(MIN_FULL_MOVE_S, (allowed - canary_allowed) / _request_rate(state, at))
     )
 
 
 def _allowed_requests(state: RolloutState, elapsed_s: float, rate: float) -> tuple[float, float]:
     """Return the number of requests that the new version may get in `elapsed_s` seconds.
 
-    The result is a pair: the total, and the number of these that the trial may use.
+    The result is a pair: the total, and the number of these that the canary phase may use.
     """
     slack = USABLE_SLACK_RATIO * state.bound.slack
     allowed = USABLE_SHARE_RATIO * state.bound.share * elapsed_s * rate + slack
-    return allowed, trial_allowance(allowed, slack)
+    return allowed, canary_allowance(allowed, slack)
 
 
 def _decision_margin(duration: float) -> float:
@@ -205,16 +205,18 @@
         if not fleet.old_servers:
             return None
         return _make_step(
-            state, Phase.TRIAL, "servers of the version live", _turn_ms(state, fleet, at)
+            state, Phase.TRIAL, "servers of the version live", _canary_period_ms(state, fleet, at)
         )
     if state.status.phase is Phase.TRIAL and at >= state.last_step_at + MEMBERSHIP_SETTLE_S:
-        turn_ms = _turn_ms(state, fleet, at)
-        if turn_ms >= TURN_UPDATE_FACTOR * state.status.length_ms:
-            return _make_step(state, Phase.TRIAL, "there are fewer requests than thought", turn_ms)
+        period_ms = _canary_period_ms(state, fleet, at)
+        if period_ms >= PERIOD_UPDATE_FACTOR * state.status.length_ms:
+            return _make_step(
+                state, Phase.TRIAL, "there are fewer requests than thought", period_ms
+            )
     if not fleet.is_platform_reachable:
         return _while_platform_unreachable(state, at)
     if state.status.phase is Phase.TRIAL:
-        return _step_from_trial(state, degradation, at)
+        return _step_from_canary(state, degradation, at)
     if state.status.closing is Closing.CLOSED:
         return _step_from_closed(state, fleet, at)
     return _step_from_moving(state, degradation, at)
@@ -226,19 +228,19 @@
     return max(1.0, (state.evidence.old.answers + state.evidence.new.answers) / elapsed_s)
 
 
-def _turn_ms(state: RolloutState, fleet: FleetView, at: float) -> int:
-    """Return the length in ms of a trial turn, long enough for a burst that fills the slots."""
+def _canary_period_ms(state: RolloutState, fleet: FleetView, at: float) -> int:
+    """Return the length in ms of a canary period, long enough for a burst that fills the slots."""
     if not state.evidence.old.answers:
-        return round(MIN_TURN_S * 1000)
+        return round(MIN_CANARY_PERIOD_S * 1000)
     rate = _request_rate(state, at)
-    allowed, on_trial = _allowed_requests(state, max(1.0, state.order.duration), rate)
-    share = on_trial / allowed * USABLE_SHARE_RATIO * state.bound.share if allowed else 0.0
-    turn_s = BURST_REQUESTS_PER_SLOT * fleet.slots / (share * rate + 1e-9)
-    return round(1000 * min(MAX_TURN_S, max(MIN_TURN_S, turn_s)))
+    allowed, canary_allowed = _allowed_requests(state, max(1.0, state.order.duration), rate)
+    share = canary_allowed / allowed * USABLE_SHARE_RATIO * state.bound.share if allowed else 0.0
+    period_s = BURST_REQUESTS_PER_SLOT * fleet.slots / (share * rate + 1e-9)
+    return round(1000 * min(MAX_CANARY_PERIOD_S, max(MIN_CANARY_PERIOD_S, period_s)))
 
 
 def _while_platform_unreachable(state: RolloutState, at: float) -> Step | None:
-    """Postpone the decision and return to the trial, since no decision can be stored now."""
+    """Postpone the decision and return to the canary phase: no decision can be stored now."""
     soonest = at + MIN_FULL_MOVE_S
     usual = at + full_move_seconds(state, at) + MOVE_SCHEDULE[0][0]
     latest = max(soonest, min(usual, state.deadline - DOUBT_GRACE_S / 2))
@@ -248,7 +250,7 @@
     return None
 
 
-def _step_from_trial(state: RolloutState, degradation: Degradation, at: float) -> Step | None:
+def _step_from_canary(state: RolloutState, degradation: Degradation, at: float) -> Step | None:
     if at >= state.decision_due_at and not evidence.has_enough_answers(state.evidence):
         return _make_step(state, Phase.BACK, "too few answers were seen")
     if at < state.decision_due_at - full_move_seconds(state, at) - MOVE_SCHEDULE[0][0]:
--- a/hornbeamgw/core/sampling.py
+++ b/hornbeamgw/core/sampling.py
@@ -15,12 +15,12 @@
 from hornbeamgw.core.membership import Status
 
 # For services with at most this many servers, load reports in answers are recent enough.
-ASK_ABOVE_SERVERS = 8
+QUERY_ABOVE_SERVERS = 8
 # Servers queried in each round: the fastest ones, and random ones so that slower servers are also
 # used when the fast ones are full.
-ASKED_FASTEST = 1
-ASKED_AT_RANDOM = 1
-ASKED_REMOTE_AT_RANDOM = 1
+QUERIED_FASTEST = 1
+QUERIED_AT_RANDOM = 1
+QUERIED_REMOTE_AT_RANDOM = 1
 # The first round queries local servers; the next one queries remote servers, or more local ones if
 # leaving the data centre is not worthwhile.
 MAX_ROUNDS = 2
@@ -29,9 +29,12 @@
 GOOD_WAIT_RATIO = 0.1
 
 
-def should_ask(choice: Choice) -> bool:
-    """Return whether there are too many servers to have a recent load report from each."""
-    return len(choice.candidates) > ASK_ABOVE_SERVERS
+def should_query(choice: Choice) -> bool:
+    """Return whether to query servers for their load before the request is sent.
+
+    This is worthwhile if there are too many servers to have a recent load report from each.
+    """
+    return len(choice.candidates) > QUERY_ABOVE_SERVERS
 
 
 def sample(choice: Choice, is_local: bool, rng: random.Random) -> list[Candidate]:
@@ -46,8 +49,8 @@
     pool = [c for c in usable if (c.member.data_centre == choice.me.data_centre) is is_local]
     rng.shuffle(pool)
     pool.sort(key=lambda c: _expected_service_time(choice, c))
-    fast, rest = pool[:ASKED_FASTEST], pool[ASKED_FASTEST:]
-    count = ASKED_AT_RANDOM if is_local else ASKED_REMOTE_AT_RANDOM
+    fast, rest = pool[:QUERIED_FASTEST], pool[QUERIED_FASTEST:]
+    count = QUERIED_AT_RANDOM if is_local else QUERIED_REMOTE_AT_RANDOM
     return own + fast + rng.sample(rest, min(count, len(rest)))
 
 
--- a/hornbeamgw/core/standing.py
+++ b/hornbeamgw/core/standing.py
@@ -15,7 +15,7 @@
     """Destination of a service's requests during a rollout."""
 
     HELD = 0  # not started: old servers only
-    TRIAL = 1  # a small share to the new version
+    TRIAL = 1  # canary phase: a small share to the new version
     MOVING = 2  # the longest requests to the new version, then all requests
     BACK = 3  # rolled back: old servers only
     DONE = 4  # completed: new version only
@@ -41,7 +41,7 @@
 
     `step` increases with each change of the status. In the MOVING phase, `length_ms` is the
     expected service time at or above which requests are moved to the new version. In the TRIAL
-    phase it is the length of a turn, in which one group of servers receives trial requests.
+    phase it is the length of a canary period, in which one group of canary servers gets requests.
     """
 
     service: str
--- a/hornbeamgw/daemon/gate.py
+++ b/hornbeamgw/daemon/gate.py
@@ -315,10 +315,10 @@
 
         If both ran during a crash, it would be unclear which one caused it.
         """
-        must_run_isolated = self.quarantine.must_run_isolated
-        if not must_run_isolated(fingerprint):
+        is_crash_suspect = self.quarantine.is_crash_suspect
+        if not is_crash_suspect(fingerprint):
             return None
-        if not any(must_run_isolated(a.call.fingerprint) for a in self._attempts.values()):
+        if not any(is_crash_suspect(a.call.fingerprint) for a in self._attempts.values()):
             return None
         return not_run(Reason.NO_SLOT, "runs apart from another", RETRY_AFTER_ISOLATION_MS)
 
--- a/hornbeamgw/daemon/quarantine.py
+++ b/hornbeamgw/daemon/quarantine.py
@@ -50,9 +50,9 @@
             Reason.QUARANTINED, "servers end under this request", round(remaining * 1000)
         )
 
-    def must_run_isolated(self, fingerprint: int) -> bool:
+    def is_crash_suspect(self, fingerprint: int) -> bool:
         """Return whether a request must not run concurrently with another suspect."""
-        return quarantine.must_run_isolated(self.state, fingerprint)
+        return quarantine.is_crash_suspect(self.state, fingerprint)
 
     def record_answer(self, fingerprint: int) -> None:
         """Record that the local backend server has answered a request."""
@@ -119,5 +119,5 @@
     def _is_urgent(self, finding: Finding, persistent: Sequence[Finding]) -> bool:
         """Return whether other daemons need a finding at once: a repeated crash or a quarantine."""
         if finding.kind is FindingKind.ENDED:
-            return any(map(self.must_run_isolated, finding.fingerprints))
+            return any(map(self.is_crash_suspect, finding.fingerprints))
         return finding in persistent
--- a/hornbeamgw/daemon/servers.py
+++ b/hornbeamgw/daemon/servers.py
@@ -111,7 +111,9 @@
         found = exposure.new_servers(self._exposure_state, service, serving)
         if arm is Arm.TURN:
             current = self._exposure_state.current_by_service[service]
-            return exposure.servers_on_turn(found, exposure.turn_seconds(current), time.time())
+            return exposure.active_canary_servers(
+                found, exposure.canary_period_seconds(current), time.time()
+            )
         return found
 
     def _load(self, member: Member, now: float) -> Load:
@@ -165,7 +167,7 @@
         return chosen
 
     async def _choose_for(self, choice: Choice, call: Call) -> Candidate | None:
-        if not sampling.should_ask(choice):
+        if not sampling.should_query(choice):
             return await self._choose_by_reports(call, choice)
         own = self._query_own(call, choice)
         if own is not None:
@@ -194,7 +196,7 @@
             chosen = self._choose(choice, self._rng)
             if chosen is None:
                 return None
-            if not crossing.should_ask_first(choice.me, chosen, len(call.body)):
+            if not crossing.should_query_first(choice.me, chosen, len(call.body)):
                 return chosen
             result = await self._query(call, [chosen])
             if not result.refusers:
--- a/hornbeamgw/testing/rollout_model.py
+++ b/hornbeamgw/testing/rollout_model.py
@@ -238,8 +238,8 @@
     def _chosen(self, state: ExposureState, arm: Arm) -> _Server | None:
         new = self._up(self.new)
         if arm is Arm.TURN and new:
-            turn_s = exposure.turn_seconds(state.current_by_service[SERVICE])
-            turn = exposure.servers_on_turn([s.member for s in new], turn_s, self.now)
+            turn_s = exposure.canary_period_seconds(state.current_by_service[SERVICE])
+            turn = exposure.active_canary_servers([s.member for s in new], turn_s, self.now)
             new = [s for s in new if s.member in turn]
         if arm in (Arm.TURN, Arm.NEW) and new:
             return self._idler(new)
