--- a/hornbeamgw/core/breaker.py
+++ b/hornbeamgw/core/breaker.py
@@ -43,12 +43,13 @@
         self.open_count = 0
 
 
-def is_early_loss(held: float, expected: float) -> bool:
-    """Return whether a connection lost after `held` seconds is an early loss.
+def is_early_loss(elapsed_s: float, expected_s: float) -> bool:
+    """Return whether a connection was lost early in a request.
 
-    `expected` is the expected service time of the request in seconds.
+    `elapsed_s` is the time from the start of the request to the loss and `expected_s` the expected
+    service time, both in seconds.
     """
-    return held < EARLY_LOSS_RATIO * expected
+    return elapsed_s < EARLY_LOSS_RATIO * expected_s
 
 
 def note_early_loss(state: BreakerState, now: float) -> bool:
--- a/hornbeamgw/core/evidence.py
+++ b/hornbeamgw/core/evidence.py
@@ -20,9 +20,10 @@
 # A version is rolled back at once at this many standard deviations. The threshold is high because
 # it is checked many times a second.
 ROLLBACK_DEVIATIONS = 5.0
-# Limit when the rollout is decided; it is lower, since this check is made only once.
+# The version is rolled back at this many standard deviations when the rollout is decided. The
+# threshold is lower, since this check is made only once.
 DOUBT_DEVIATIONS = 2.0
-# Limit when the rollout is decided, for the deviations with the cap applied to one server fewer
+# Threshold when the rollout is decided, for the deviations with the cap applied to one server fewer
 # (`Degradation.with_one_more`): if there are few servers, the failing requests may all have reached
 # the same one.
 DOUBT_DEVIATIONS_WITH_ONE_MORE = 2.25
@@ -37,7 +38,7 @@
 BASELINE_PRIOR_ANSWERS = 40.0
 # Length of the window in which recent answers are also evaluated separately.
 RECENT_WINDOW_S = 3.0
-# Fraction of the version's servers that may be faulty for other reasons than the version.
+# Fraction of the version's servers that may be faulty for reasons other than the version.
 FAULTY_SERVER_RATIO = 0.15
 # Added to the variance, which is too small an estimate for few answers.
 EXTRA_VARIANCE = 0.5
@@ -132,10 +133,12 @@
 
 def record_tally(state: EvidenceState, server: str, tally: Tally, now: float) -> None:
     """Record the cumulative counts of a server; they include those of earlier, lost reports."""
-    held = state.tallies_by_server.get(server)
-    known = {} if held is None or held.software != tally.software else held.counts_by_route
+    previous = state.tallies_by_server.get(server)
+    known = (
+        {} if previous is None or previous.software != tally.software else previous.counts_by_route
+    )
     state.tallies_by_server[server] = tally
-    if held is None and tally.software != state.target:
+    if previous is None and tally.software != state.target:
         return  # These answers may predate the order.
     for route, count in tally.counts_by_route.items():
         added = _count_since(count, known.get(route, Count()))
--- a/hornbeamgw/core/exposure.py
+++ b/hornbeamgw/core/exposure.py
@@ -102,12 +102,12 @@
 def receive(state: ExposureState, received: RolloutStatus, now: float) -> bool:
     """Store a status; return whether it supersedes the one stored before."""
     version = received.service, received.target
-    held = state.status_by_version.get(version)
-    if not supersedes(received, held):
+    known = state.status_by_version.get(version)
+    if not supersedes(received, known):
         return False
     state.status_by_version[version] = received
     state.generation += 1
-    if held is None or held.number != received.number:
+    if known is None or known.number != received.number:
         state.counts_by_version[version] = _VersionCounts(received.number)
     current = state.current_by_service.get(received.service)
     if current is None or received.number >= current.number:
--- a/hornbeamgw/core/floor.py
+++ b/hornbeamgw/core/floor.py
@@ -20,7 +20,7 @@
 
 
 class FloorDecision(NamedTuple):
-    """The floor, or None if it can't be determined yet; `waits_for` is the peer or answer missing."""
+    """The floor, or None if it can't be determined yet, and what the daemon then waits for."""
 
     floor: int | None
     waits_for: str
--- a/hornbeamgw/core/membership.py
+++ b/hornbeamgw/core/membership.py
@@ -177,7 +177,7 @@
 
 
 class _Pending(NamedTuple):
-    """A probe without an answer; `indirect` is True once other members have been requested to probe it."""
+    """A probe without an answer; `indirect` is set once other members were requested to probe."""
 
     target: str
     sent_at: float
--- a/hornbeamgw/core/node.py
+++ b/hornbeamgw/core/node.py
@@ -243,7 +243,7 @@
 def learn_version(
     node: Node, version: int, bodies: Mapping[str, Any], origin: Origin, moment: Moment
 ) -> tuple[bool, list[Effect]]:
-    """Process all items of a version from an external source, with the same result as learn_deltas()."""
+    """Process all items of a version from an external source; return as learn_deltas() does."""
     known = node.versions.catalogue
     if version <= known.version:
         return False, []
--- a/hornbeamgw/core/quarantine.py
+++ b/hornbeamgw/core/quarantine.py
@@ -371,9 +371,9 @@
     return _remove_from_reports(state, fingerprint) or was_quarantined
 
 
-def _clear_answered(state: QuarantineState, fingerprints: Iterable[int], now: float) -> list[int]:
+def _clear_answered(state: QuarantineState, crash_suspects: Iterable[int], now: float) -> list[int]:
     """Clear those requests that the local server has answered, and announce the answers."""
-    cleared = [f for f in dict.fromkeys(fingerprints) if f in state.answered]
+    cleared = [f for f in dict.fromkeys(crash_suspects) if f in state.answered]
     for fingerprint in cleared:
         _clear(state, fingerprint, now)
     if cleared:
--- a/hornbeamgw/core/rollout.py
+++ b/hornbeamgw/core/rollout.py
@@ -151,7 +151,7 @@
     return min(DECISION_MARGIN_S, DECISION_MARGIN_RATIO * duration)
 
 
-def hear(state: RolloutState, received: RolloutStatus, now: float) -> bool:
+def receive_status(state: RolloutState, received: RolloutStatus, now: float) -> bool:
     """Adopt a status from another leader; return whether it supersedes the current one."""
     if received.number != state.order.number or not supersedes(received, state.status):
         return False
@@ -173,9 +173,9 @@
     length_ms: int = MOVE_NONE_MS,
     closing: Closing = Closing.OPEN,
 ) -> Step:
-    held = state.status
-    step = held.step + 1
-    return Step(held._replace(phase=phase, step=step, length_ms=length_ms, closing=closing), why)
+    current = state.status
+    step = current.step + 1
+    return Step(current._replace(phase=phase, step=step, length_ms=length_ms, closing=closing), why)
 
 
 def next_step(state: RolloutState, fleet: FleetView, now: float) -> Step | None:
--- a/hornbeamgw/core/standing.py
+++ b/hornbeamgw/core/standing.py
@@ -64,6 +64,6 @@
     return status.number, decided, status.step
 
 
-def supersedes(received: RolloutStatus, held: RolloutStatus | None) -> bool:
-    """Return whether a received status replaces the known one (`held`) for the same version."""
-    return held is None or _rank(received) > _rank(held)
+def supersedes(received: RolloutStatus, known: RolloutStatus | None) -> bool:
+    """Return whether a received status replaces the known one, if any, for the same version."""
+    return known is None or _rank(received) > _rank(known)
--- a/hornbeamgw/daemon/rollouts/leader.py
+++ b/hornbeamgw/daemon/rollouts/leader.py
@@ -114,9 +114,9 @@
         self._led_orders_by_service[order.service] = _LedOrder(state, row_revision, era)
         known = self._rollouts.state.status_by_version.get((order.service, order.target))
         self._has_work.set()
-        if known is not None and rollout.hear(state, known, now):
+        if known is not None and rollout.receive_status(state, known, now):
             return
-        self._rollouts.hear(state.status)
+        self._rollouts.receive_status(state.status)
         if self._rank_of(order.service) is not None:
             self._rollouts.publish_status(state.status, is_urgent=True)
             self._spawn(self._check_earlier_decision(order.service, state))
@@ -169,7 +169,11 @@
             return
         now = asyncio.get_running_loop().time()
         rank = self._rank_of(received.service)
-        if rollout.hear(led_order.state, received, now) and received.is_final and rank is not None:
+        if (
+            rollout.receive_status(led_order.state, received, now)
+            and received.is_final
+            and rank is not None
+        ):
             self._rollouts.publish_status(received, is_urgent=False)
             self._start_status_write(led_order.state, delay_s=(rank + 1) * LEADER_LAG_S)
 
--- a/hornbeamgw/daemon/rollouts/rollouts.py
+++ b/hornbeamgw/daemon/rollouts/rollouts.py
@@ -35,7 +35,7 @@
         for status in member.standings:
             self._receive(status, member.address)
 
-    def hear(self, status: RolloutStatus) -> None:
+    def receive_status(self, status: RolloutStatus) -> None:
         """Receive the status of a rollout that was read from the platform."""
         self._receive(status, "the platform")
 
--- a/hornbeamgw/testing/rollout_model.py
+++ b/hornbeamgw/testing/rollout_model.py
@@ -401,7 +401,7 @@
             )
 
     def _hear_as_leader(self, leader: RolloutState, standing: RolloutStatus) -> None:
-        rollout.hear(leader, standing, self.now)
+        rollout.receive_status(leader, standing, self.now)
 
     def _hear(self, daemon: int, standing: RolloutStatus) -> None:
         exposure.receive(self.states[daemon], standing, self.now)
