--- a/hornbeamgw/core/exposure.py
+++ b/hornbeamgw/core/exposure.py
@@ -35,7 +35,7 @@
 # is idle until its group is selected.
 CANARY_GROUPS = 25
 CANARY_OPEN_RATIO = 0.1
-MIN_OPEN_S = 0.2
+MIN_CANARY_OPEN_S = 0.2
 MIN_CANARY_PERIOD_S = 0.5
 BACKGROUND_CANARY_RATIO = 0.003
 # Time for which servers of a version that has just appeared get no requests, as an order to roll it
@@ -202,7 +202,7 @@
         return Arm.BEFORE
     if current.phase is Phase.TRIAL:
         period_s = canary_period_seconds(current)
-        if wall_time % period_s < max(MIN_OPEN_S, CANARY_OPEN_RATIO * period_s):
+        if wall_time % period_s < max(MIN_CANARY_OPEN_S, CANARY_OPEN_RATIO * period_s):
             return Arm.TURN
         return Arm.NEW if rng.random() < BACKGROUND_CANARY_RATIO else Arm.BEFORE
     return Arm.NEW if request.length_s * 1000 >= current.length_ms else Arm.BEFORE
--- a/hornbeamgw/core/quarantine.py
+++ b/hornbeamgw/core/quarantine.py
@@ -134,7 +134,7 @@
 def is_crash_suspect(state: QuarantineState, fingerprint: int) -> bool:
     """Return whether a request may have crashed servers.
 
-    Such a request must not run concurrently with another one, so that a crash identifies its cause.
+    Two such requests must not run concurrently on a server, so that a crash identifies its cause.
     """
     if fingerprint in state.periods_by_fingerprint:
         return True
