--- a/hornbeamgw/daemon/reader.py
+++ b/hornbeamgw/daemon/reader.py
@@ -151,7 +151,7 @@
                 continue
             try:
                 era = self._control.node.era
-                head = await self._source.wait_change(
+                head = await self._source.wait_for_change(
                     WATCH_TIMEOUT_S if self._uses_short_watch() else LONG_WATCH_TIMEOUT_S
                 )
                 if era is not None and self._control.node.era != era:
@@ -174,7 +174,7 @@
                 await asyncio.sleep(self._rng.uniform(ceiling / 2, ceiling))
 
     def _min_total_readers(self) -> int:
-        return MIN_TOTAL_READERS if self._source.is_whole else 0
+        return MIN_TOTAL_READERS if self._source.head_includes_catalogue else 0
 
     def _alive_members(self) -> list[Member]:
         """Return the members that are not suspected, as another one replaces a suspected reader."""
@@ -212,7 +212,9 @@
         """Push the version that was read, unless another reader pushes it first."""
         members, me = self._alive_members(), self._control.view.me
         version = self._control.versions.catalogue.version
-        if self._source.is_whole and not is_pusher(me, members, version, self._min_total_readers()):
+        if self._source.head_includes_catalogue and not is_pusher(
+            me, members, version, self._min_total_readers()
+        ):
             await asyncio.sleep(PUSH_TIMEOUT_S)
             if self._control.node.highest_pushed_version >= version:
                 return
@@ -236,7 +238,7 @@
 
     async def answer_floor(self, address: str) -> frames.Floor:
         """Return the floor for the daemon at an address, confirmed if the platform is available."""
-        if self._source.is_whole and versions.is_ready(self._control.versions):
+        if self._source.head_includes_catalogue and versions.is_ready(self._control.versions):
             return frames.Floor(self._control.versions.catalogue.version, False)
         try:
             head = await self.fresh_head()
@@ -306,7 +308,7 @@
     async def _find_floor(self, attempt: int) -> None:
         me = self._control.view.me
         local = self._local_peers()
-        if self._source.is_whole:
+        if self._source.head_includes_catalogue:
             if not await self._floor_from_platform():
                 await self._floor_from_sampled_peers(self._peers())
             return
@@ -325,7 +327,7 @@
         except PlatformError as error:
             self._set_waiting_for(f"the platform ({error})")
             return False
-        if not self._source.is_whole:
+        if not self._source.head_includes_catalogue:
             self._control.set_floor(head.version, "read from the platform")
             return True
         await self._pull_newer_than(head)
