--- a/hornbeamgw/daemon/adoption.py
+++ b/hornbeamgw/daemon/adoption.py
@@ -33,7 +33,7 @@
         self._instance_header = instance_header
 
     def note(self, announcements: Iterable[Announcement]) -> None:
-        """Store the announcements of the local servers, except those that are leaving."""
+        """Store the announcements of the local servers that are serving."""
         self._row.set_servers(announcements)
 
     async def last_known(self) -> Sequence[Announcement]:
@@ -41,7 +41,7 @@
         return await self._row.last_known()
 
     async def is_unchanged(self, known: Announcement, health_path: str) -> bool:
-        """Return whether the announced instance answers a health check successfully."""
+        """Return whether a health check succeeds and is answered by the announced instance."""
         client = HttpClient(known.address, CHECK_TIMEOUT_S)
         try:
             answer = await client.request("GET", health_path)
--- a/hornbeamgw/daemon/codec.py
+++ b/hornbeamgw/daemon/codec.py
@@ -136,7 +136,10 @@
 
 
 def _read_lists(raw: Any) -> list[Sequence[Any]]:
-    """Return the list fields of a record; an absent list is not read, which would be slower."""
+    """Return the list fields of a record.
+
+    Absent lists are returned as empty tuples without reading them, which is faster.
+    """
     has, get = raw._has_by_field, raw._get_by_field
     return [get(field) if has(field) else () for field in _member_list_fields]
 
@@ -149,8 +152,8 @@
 def read_newer_members(records: Any, is_newer: IsNewer) -> list[Member]:
     """Decode only the member records that are newer than the known ones.
 
-    Most records in gossip are already known while members restart. Raise ValueError if a decoded
-    record is invalid.
+    This saves time while members restart, when most records in gossip are already known. Raise
+    ValueError if a decoded record is invalid.
     """
     newer = []
     for raw in records:
@@ -410,7 +413,8 @@
         _read_refusal_fields(raw)
     )
     verdict = Verdict.MAY_HAVE_RUN if may_have_run else Verdict.NOT_RUN
-    # Newer daemons may send an unknown reason. Retries depend only on the verdict.
+    # A newer daemon may send a reason that is unknown here. Replacing it doesn't affect retries,
+    # which depend only on the verdict.
     reason = Reason(reason_name) if reason_name in _REASONS else Reason.BACKEND_REFUSED
     return frames.Refusal(attempt, Failure(verdict, reason, detail, retry_after_ms, reached), *load)
 
@@ -503,7 +507,7 @@
 
 
 def detach_body(frame: frames.Frame) -> tuple[frames.Frame, bytes]:
-    """Split a frame into the frame without its body, and the body."""
+    """Return a frame without its body, and the body."""
     if isinstance(frame, frames.Call | frames.Reply):
         return frame._replace(body=b""), frame.body
     if isinstance(frame, frames.Body):
--- a/hornbeamgw/daemon/datagrams.py
+++ b/hornbeamgw/daemon/datagrams.py
@@ -24,7 +24,7 @@
     schema.Datagram, "fleet", "sender", "version", "digest", "viewHash", "era", "gossip"
 )
 
-MAX_UNSAFE_COUNT = 0xFFFF  # 16-bit field of a tally
+MAX_UNSAFE_COUNT = 0xFFFF  # limit of the 16-bit field in an encoded tally
 
 
 def fleet_hash(fleet: str) -> int:
@@ -104,7 +104,7 @@
 def decode_datagram(
     fleet: int, payload: bytes, is_newer: IsNewer = lambda address, rank: True
 ) -> Envelope:
-    """Decode a datagram, with only those member records for which `is_newer` returns true.
+    """Decode a datagram without the member records for which `is_newer` returns false.
 
     Raise CodecError if the datagram is invalid or belongs to another fleet.
     """
--- a/hornbeamgw/daemon/frames.py
+++ b/hornbeamgw/daemon/frames.py
@@ -168,7 +168,10 @@
 
 
 class Outlook(NamedTuple):
-    """Answer to an OutlookRequest: whether it would be admitted, its wait, else a retry delay."""
+    """Answer to an OutlookRequest.
+
+    It contains the expected wait if the request would be admitted, otherwise when to retry.
+    """
 
     number: int
     takes: bool
--- a/hornbeamgw/daemon/presence.py
+++ b/hornbeamgw/daemon/presence.py
@@ -149,13 +149,13 @@
         loop.call_later(random.uniform(0, REWRITE_MAX_DELAY_S), self._changed.set)
 
     def set_findings(self, findings: tuple[Finding, ...]) -> None:
-        """Set the findings to store, which persist if all daemons that know them end."""
+        """Set the findings to store, so that they survive a restart of all daemons."""
         if findings != self._me.findings:
             self._me = self._me._replace(findings=findings)
             self._changed.set()
 
     def report_findings(self, page: RowPage) -> None:
-        """Report the findings in all rows, including the one stored before this daemon started."""
+        """Report the findings in all rows, including this daemon's row from before a restart."""
         for row in page.rows:
             try:
                 member = decode_member(row)
--- a/hornbeamgw/daemon/relay.py
+++ b/hornbeamgw/daemon/relay.py
@@ -19,7 +19,7 @@
 
 
 async def upload(connection: HttpConnection, call: Call, attempt: Attempt) -> None:
-    """Send the rest of a request's body as the other daemon grants credit."""
+    """Send the rest of a request's body, limited by the credit that the other daemon grants."""
     while True:
         await attempt.upload.consume(0)
         call.is_body_streaming = True
@@ -40,7 +40,7 @@
     close: bool,
     pacer: Pacer,
 ) -> None:
-    """Send an answer to the caller; raise ConnectionLost if either connection is lost."""
+    """Send an answer to the caller; raise ConnectionLost if it can't be sent completely."""
     headers = heads.decode_headers(reply.head)
     headers.append((heads.CALL_ID, call.call_id.encode()))
     if close:
@@ -69,8 +69,7 @@
             progress.record_wait(WaitsFor.OTHER_DAEMON, loop.time())
             event = await attempt.events.get()
             if isinstance(event, DeadlineExpired | DaemonStopping):
-                # A complete answer after the deadline is more useful to the caller than a truncated
-                # one.
+                # Keep sending: a late answer is more useful to the caller than a truncated one.
                 continue
             if not isinstance(event, frames.Body):
                 raise ConnectionLost(f"{type(event).__name__} before the end of the answer")
--- a/hornbeamgw/daemon/request_body.py
+++ b/hornbeamgw/daemon/request_body.py
@@ -12,9 +12,10 @@
 
 
 async def read_body(connection: HttpConnection, call: Call, max_size: int) -> None:
-    """Read the body until it is complete or exceeds `max_size` bytes, the limit for retries.
+    """Read the body until it is complete or exceeds `max_size` bytes.
 
-    Raise BadRequest if the body does not arrive before the deadline.
+    The rest of a larger body is streamed during an attempt; once that starts, the call can't be
+    retried. Raise BadRequest if the body does not arrive before the deadline.
     """
     # Most bodies arrive together with the request head and need no timer.
     if _read_available(connection, call, max_size):
--- a/hornbeamgw/daemon/rollouts/orders.py
+++ b/hornbeamgw/daemon/rollouts/orders.py
@@ -38,7 +38,8 @@
 class OrderRows(NamedTuple):
     """Tables, keys and encoding of orders and their status.
 
-    The key of both rows is the prefix followed by the service's name. Decoders raise ValueError.
+    An order and its status have the same key: the prefix followed by the service's name. The
+    decoders raise ValueError if a row is invalid.
     """
 
     table: str
--- a/hornbeamgw/daemon/rollouts/statuses.py
+++ b/hornbeamgw/daemon/rollouts/statuses.py
@@ -1,4 +1,4 @@
-"""Status rows of rollout orders, written conditionally."""
+"""Status rows of rollout orders, written only if unchanged since they were read."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class OrderRevision(NamedTuple):
-    """Identity of an order: its target, and the revision of its row in an era of the store."""
+    """Identity of an order: its service and target, and the revision of its row.
+
+    The store's era changes when the store is restored from a backup.
+    """
 
     service: str
     target: str
@@ -32,7 +35,7 @@
         self._order_rows = order_rows
 
     async def decision(self, order: OrderRevision) -> Phase | None:
-        """Return the decision on an order, or None if none is stored."""
+        """Return the stored decision on an order, Phase.DONE or Phase.BACK; None if undecided."""
         row, era = await self._read(order.service)
         return self._decision(order, row, era)
 
@@ -75,7 +78,7 @@
         stored = None if row is None else self._decode(row)
         if row is None or stored is None or stored.target != order.target:
             return None
-        # Revisions of different eras can't be compared.
+        # Revisions from before and after a restore of the store can't be compared.
         if era != order.era or row.revision < order.row_revision:
             return None
         return PHASE_BY_PROGRESS.get(stored.progress)
--- a/hornbeamgw/daemon/rollouts/tallies.py
+++ b/hornbeamgw/daemon/rollouts/tallies.py
@@ -34,8 +34,8 @@
                 sent_by_server.pop(tally.server, None)
                 continue
             sent_at, last = sent_by_server.get(tally.server, (0.0, None))
-            # Completion of the order depends on the tallies of closed servers, so these are resent
-            # even if unchanged in case a datagram was lost.
+            # Once the old servers are closed (see `Closing`), completion of the order depends on
+            # their tallies. Unchanged tallies are resent in case a datagram was lost.
             must_resend = status.closing is Closing.CLOSED
             is_frequent = must_resend or tally.software == status.target
             interval_s = NEW_SERVER_INTERVAL_S if is_frequent else OLD_SERVER_INTERVAL_S
--- a/hornbeamgw/daemon/server_exchange.py
+++ b/hornbeamgw/daemon/server_exchange.py
@@ -49,9 +49,9 @@
     ) -> None:
         """Create an exchange without a backend server.
 
-        Answers report the load in `state`. `on_stalled` is called if an answer is not sent
-        completely in time, `on_crash` with the fingerprints of the requests that were running when
-        the backend server crashed.
+        Answers report the load in `state`. `on_stalled` is called with an attempt whose answer is
+        not sent completely in time. `on_crash` is called if the backend server crashes, with the
+        fingerprints of the requests that were running at that moment.
         """
         self.pool = BackendPool()
         self.crash_detector = CrashDetector(self.pool, on_crash)
--- a/hornbeamgw/daemon/sources.py
+++ b/hornbeamgw/daemon/sources.py
@@ -142,7 +142,7 @@
 
 
 def to_source_head(head: Head) -> SourceHead:
-    """Convert a head row to the head of a source."""
+    """Return the newest version that a head row names, as a SourceHead."""
     return SourceHead(head["version"], head)
 
 
--- a/hornbeamgw/testing/command.py
+++ b/hornbeamgw/testing/command.py
@@ -1,4 +1,4 @@
-"""Command line of the stand-ins: hornbeamgw-standin."""
+"""Command hornbeamgw-standin: run a stand-in for the platform's store or a backend server."""
 
 from __future__ import annotations
 
--- a/hornbeamgw/testing/local.py
+++ b/hornbeamgw/testing/local.py
@@ -96,7 +96,7 @@
         return daemon
 
     def callers(self, daemon: Daemon) -> str:
-        """Return the address of a daemon for callers."""
+        """Return the address at which a daemon accepts calls."""
         return self.addresses[self.daemons.index(daemon)]["callers"]
 
     def admin(self, daemon: Daemon) -> str:
--- a/hornbeamgw/testing/platform_server.py
+++ b/hornbeamgw/testing/platform_server.py
@@ -1,7 +1,7 @@
 """Platform server: a stand-in for a backend server of the users' platform.
 
-It sends heartbeats to a daemon and counts its requests. A share of its responses can be failures or
-slow.
+It sends heartbeats to a daemon and counts its requests. A configurable share of responses fails or
+is delayed.
 """
 
 from __future__ import annotations
