--- a/hornbeamgw/core/catalogue.py
+++ b/hornbeamgw/core/catalogue.py
@@ -216,7 +216,7 @@
 
 
 def changed_keys(items: Items, base: Items) -> list[str]:
-    """Return the sorted keys whose item is not the identical object in the base."""
+    """Return the sorted keys of items that are not in the base as the same object."""
     return sorted(key for key, item in items.items() if base.get(key) is not item)
 
 
--- a/hornbeamgw/core/evidence.py
+++ b/hornbeamgw/core/evidence.py
@@ -23,11 +23,11 @@
 # The version is rolled back at this many standard deviations when the rollout is decided. The
 # threshold is lower, since this check is made only once.
 DOUBT_DEVIATIONS = 2.0
-# Threshold when the rollout is decided, for the deviations with the cap applied to one server fewer
+# Threshold of the same check when the excess of one more of the worst servers is left uncapped
 # (`Degradation.with_one_more`): if there are few servers, the failing requests may all have reached
-# the same one.
+# the same one, whose excess the cap would hide.
 DOUBT_DEVIATIONS_WITH_ONE_MORE = 2.25
-# Subtracted from the deviations of a single route: one of many may look bad by chance.
+# Subtracted from the deviations of a single route: one of many routes may look bad by chance.
 ROUTE_ALLOWANCE_DEVIATIONS = 0.5
 # Limits of the baseline ratio of bad answers.
 MIN_BAD_RATIO = 0.02
@@ -74,7 +74,10 @@
 
 
 class _Sums:
-    """Sums of the excess by route and server, and of the variance by route."""
+    """Sums of the excess by route and server, and of the variance by route.
+
+    Each sample is added to its own route and to `ALL_ROUTES`.
+    """
 
     def __init__(self) -> None:
         self.excess_by_route: dict[str, dict[str, float]] = {}
@@ -93,8 +96,8 @@
 class Degradation(NamedTuple):
     """How much worse a version answers, in standard deviations, and on which route.
 
-    `with_one_more` is the same with the cap applied to one server fewer, so that the excess of one
-    more of the worst servers counts in full.
+    `with_one_more` is the number of standard deviations when the excess is capped for one server
+    fewer, so that the excess of one more of the worst servers counts in full.
     """
 
     deviations: float
@@ -105,7 +108,7 @@
 class EvidenceState:
     """Answers of the servers of one service during one rollout, from reported tallies.
 
-    `new` and `old` are the counts of the new version and of all others.
+    `new` and `old` are the counts of answers of the new version and of all other versions.
     """
 
     def __init__(self, target: str) -> None:
@@ -132,14 +135,14 @@
 
 
 def record_tally(state: EvidenceState, server: str, tally: Tally, now: float) -> None:
-    """Record the cumulative counts of a server; they include those of earlier, lost reports."""
+    """Record the cumulative counts of a server, which make up for reports that were lost."""
     previous = state.tallies_by_server.get(server)
     known = (
         {} if previous is None or previous.software != tally.software else previous.counts_by_route
     )
     state.tallies_by_server[server] = tally
     if previous is None and tally.software != state.target:
-        return  # These answers may predate the order.
+        return  # These answers may have been given before the order.
     for route, count in tally.counts_by_route.items():
         added = _count_since(count, known.get(route, Count()))
         if not added.answers:
@@ -198,7 +201,11 @@
 
 
 def measure_degradation(state: EvidenceState, servers: Collection[str], now: float) -> Degradation:
-    """Return how much worse the version answers on `servers`, which run it."""
+    """Return how much worse the version answers than the old one.
+
+    `servers` are the keys of the servers that run the version; their number determines how many of
+    the worst servers are capped.
+    """
     _expire_recent(state, now)
     faulty = 0 if len(servers) < 2 else math.ceil(FAULTY_SERVER_RATIO * len(servers))
     fewer = max(0, faulty - 1)
--- a/hornbeamgw/core/exposure.py
+++ b/hornbeamgw/core/exposure.py
@@ -38,8 +38,8 @@
 MIN_CANARY_OPEN_S = 0.2
 MIN_CANARY_PERIOD_S = 0.5
 BACKGROUND_CANARY_RATIO = 0.003
-# Time for which servers of a version that has just appeared get no requests, as an order to roll it
-# out may follow.
+# Time for which servers of a version that has just appeared get no requests, so that a rollout
+# order for it may still arrive.
 NEW_VERSION_HOLD_S = 1.0
 # A daemon stops sending to a version after this many bad answers if they are the majority.
 BAD_ANSWERS_LIMIT = 6
@@ -180,10 +180,16 @@
 class Arm(enum.Enum):
     """Group of a service's servers from which the server for a request is selected."""
 
-    BEFORE = "before"  # servers of versions in use
-    TURN = "turn"  # canary servers that are selected in the current canary period
-    NEW = "new"  # all servers of the new version
-    WAIT = "wait"  # none yet: old servers are about to be stopped and the exposure limit is reached
+    # Servers of versions that receive regular traffic (`servers_in_use`): during a rollout those of
+    # the old versions, and once it is completed those of the new version.
+    BEFORE = "before"
+    # Servers of the new version that are selected in the current canary period.
+    TURN = "turn"
+    # All servers of the new version.
+    NEW = "new"
+    # No server yet: a request that is not idempotent waits, since the old servers are about to be
+    # stopped and the limit of requests to the new version is reached.
+    WAIT = "wait"
 
 
 def select_arm(
@@ -269,7 +275,11 @@
 def _awaits_order(
     state: ExposureState, service: str, software: str, servers: Sequence[Member], now: float
 ) -> bool:
-    """Return whether a version has just appeared beside an older one, so an order may follow."""
+    """Return whether a version is so new that a rollout order for it may still arrive.
+
+    This holds until `NEW_VERSION_HOLD_S` after it was first seen, provided that another version was
+    first seen at least that long before it.
+    """
     seen = state.first_seen_by_version.get((service, software), now)
     others = {member.software for member in servers} - {software}
     is_later = any(
--- a/hornbeamgw/core/membership.py
+++ b/hornbeamgw/core/membership.py
@@ -112,7 +112,7 @@
 
 
 def server_key(member: Member) -> str:
-    """Return a key that identifies the record's first backend server within the fleet."""
+    """Return a key that identifies the member's first backend server within the fleet."""
     return f"{member.address}/{member.server}" if member.server else member.address
 
 
--- a/hornbeamgw/core/quarantine.py
+++ b/hornbeamgw/core/quarantine.py
@@ -72,7 +72,7 @@
 
 
 class QuarantineChanges(NamedTuple):
-    """Newly quarantined requests with the daemons that reported them, and cleared requests."""
+    """Newly quarantined fingerprints with the daemons that reported them, and cleared ones."""
 
     quarantined: Mapping[int, Sequence[str]]
     cleared: Sequence[int] = ()
@@ -176,7 +176,7 @@
 def receive(
     state: QuarantineState, address: str, announced: Sequence[Finding], now: float
 ) -> QuarantineChanges:
-    """Process the findings in a member record, including this daemon's from before a restart."""
+    """Process the findings in a member record; it may be this daemon's from before a restart."""
     new = [finding for finding in announced if _is_new(state, (address, finding.number))]
     quarantined: dict[int, Sequence[str]] = {}
     cleared: list[int] = []
@@ -314,7 +314,8 @@
 def _end_period(state: QuarantineState, fingerprint: int, period: QuarantinePeriod) -> None:
     """Drop the crash reports that a quarantine explains, so that only later crashes count.
 
-    Whole reports are dropped: without the cause, they would count against the other requests.
+    Whole reports are dropped: if only the cause was removed from them, they would count against the
+    other requests that they name.
     """
     for finding_id in list(state.report_ids_by_fingerprint.get(fingerprint, ())):
         _drop_report(state, finding_id)
--- a/hornbeamgw/core/rollout.py
+++ b/hornbeamgw/core/rollout.py
@@ -9,7 +9,7 @@
 Old servers are stopped without draining, so they are drained before the order is completed.
 Requests that are not idempotent are withheld from the old servers shortly before the decision, as
 far as the exposure bound allows. Once the version is accepted, all requests go to it. The order is
-completed when no such request is left on the old servers, or when its deadline is near.
+completed when no non-idempotent request is left on the old servers, or when its deadline is near.
 
 Several daemons lead a rollout at the same time, each delayed by a lag that grows with its rank. A
 leader adopts the steps that other leaders have published, so a leader that fails or is partitioned
@@ -41,15 +41,16 @@
 LEADER_COUNT = 2
 # Lag of each further leader behind the one before it.
 LEADER_LAG_S = 0.4
-# Time between the decision and the order's deadline, at most this ratio of the order's duration.
+# Time between the decision and the order's deadline, and its maximum as a ratio of the order's
+# duration.
 DECISION_MARGIN_S = 1.0
 DECISION_MARGIN_RATIO = 0.15
 # (lead time in s, service time in ms): requests with at least this expected service time are moved
 # this lead time before the full move, so that few still run on the old servers when these are
 # stopped.
 MOVE_SCHEDULE = ((1.1, 1000), (0.5, 500), (0.2, 200), (0.0, 0))
-# Requests that are not idempotent are withheld from the old servers for this time before the
-# decision, at most this ratio of the order's duration.
+# Time before the decision in which requests that are not idempotent are withheld from the old
+# servers, and its maximum as a ratio of the order's duration.
 CLOSE_LEAD_S = 1.5
 CLOSE_LEAD_RATIO = 0.15
 # An order is completed when this ratio of the decision margin is left, even if non-idempotent
--- a/hornbeamgw/core/sampling.py
+++ b/hornbeamgw/core/sampling.py
@@ -16,8 +16,8 @@
 
 # For services with at most this many servers, load reports in answers are recent enough.
 QUERY_ABOVE_SERVERS = 8
-# Servers queried in each round: the fastest ones, and random ones so that slower servers are also
-# used when the fast ones are full.
+# Numbers of servers queried in each round: the fastest ones, and random ones so that slower servers
+# are also used when the fast ones are full.
 QUERIED_FASTEST = 1
 QUERIED_AT_RANDOM = 1
 QUERIED_REMOTE_AT_RANDOM = 1
--- a/hornbeamgw/core/slots.py
+++ b/hornbeamgw/core/slots.py
@@ -78,7 +78,10 @@
 
 
 class Refused(NamedTuple):
-    """Decision that a request is refused; `failure` states if an earlier copy may have run."""
+    """Decision that a request is refused.
+
+    `failure` states whether the request may have run: a copy of it may have been admitted earlier.
+    """
 
     request: Request
     failure: Failure
--- a/hornbeamgw/core/snapshot.py
+++ b/hornbeamgw/core/snapshot.py
@@ -19,7 +19,8 @@
 
 DEFAULT_QUEUE_SIZE = 16
 DEFAULT_ATTEMPTS = 3
-# Longest prefix that the catalogue accepts; longer prefixes of a path are not looked up.
+# Maximum length in characters of a route prefix in the catalogue. Longer prefixes of a request's
+# path are not looked up.
 MAX_PREFIX_LENGTH = 512
 
 
--- a/hornbeamgw/core/standing.py
+++ b/hornbeamgw/core/standing.py
@@ -12,7 +12,7 @@
 
 
 class Phase(enum.IntEnum):
-    """Destination of a service's requests during a rollout."""
+    """Phase of a service's rollout, which determines the versions that its requests go to."""
 
     HELD = 0  # not started: old servers only
     TRIAL = 1  # canary phase: a small share to the new version
