--- a/benchmarks/crossing.py
+++ b/benchmarks/crossing.py
@@ -33,7 +33,7 @@
             for seed in SEEDS:
                 load = load_of(seed)
                 outcome = Mesh(load, "objective", chooser, seed).run(SECONDS)
-                worths.append(outcome.worth(load.kinds))
+                worths.append(outcome.goodput_ratio(load.kinds))
                 megabytes.append(outcome.cross_dc_bytes / 1e6)
             emit("worth", "part of the worth", worths, load=name, chooser=chooser)
             emit("crossed", "MB", megabytes, load=name, chooser=chooser)
--- a/features/steps/crossing.py
+++ b/features/steps/crossing.py
@@ -108,17 +108,21 @@
 
 @when("it is played for {seconds:d} seconds by the soonest end and by the chance to be late")
 def played(context, seconds):
-    context.worth, context.moved = Counter(), Counter()
+    context.goodput_ratio, context.moved = Counter(), Counter()
     for chooser in ("expected_finish", "in_time"):
         for seed, offered in context.loads.items():
             outcome = Mesh(offered, "objective", chooser, seed).run(seconds)
-            context.worth[chooser] += outcome.worth(offered.kinds) / len(context.loads)
+            context.goodput_ratio[chooser] += outcome.goodput_ratio(offered.kinds) / len(
+                context.loads
+            )
             context.moved[chooser] += outcome.cross_dc_bytes
 
 
 @then("the latter earns at least as much less one in twenty-five")
 def earns(context):
-    assert context.worth["in_time"] >= context.worth["expected_finish"] - 0.04, context.worth
+    assert (
+        context.goodput_ratio["in_time"] >= context.goodput_ratio["expected_finish"] - 0.04
+    ), context.goodput_ratio
 
 
 @then("it moves at most half of the bytes")
@@ -130,4 +134,4 @@
 def bounded(context):
     bounds = [mesh_load.max_worth_ratio(offered) for offered in context.loads.values()]
     most = sum(bounds) / len(bounds) + 0.05
-    assert max(context.worth.values()) <= most, (context.worth, bounds)
+    assert max(context.goodput_ratio.values()) <= most, (context.goodput_ratio, bounds)
--- a/hornbeamgw/daemon/control.py
+++ b/hornbeamgw/daemon/control.py
@@ -1,4 +1,7 @@
-"""Control plane of a daemon: run the effects of its node over UDP and short-lived TCP links."""
+"""Gossip I/O of a daemon, over UDP and short-lived TCP connections.
+
+It carries out the effects that the daemon's state machine (`core.node`) returns.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +47,7 @@
 
 
 class Control:
-    """The node of this daemon, its UDP socket and its background tasks."""
+    """The state machine (`Node`) of this daemon, its UDP socket and its background tasks."""
 
     def __init__(self, settings: Settings, me: Member, rng: random.Random) -> None:
         """Create the state of a daemon that knows only its own record and no catalogue version."""
--- a/hornbeamgw/daemon/reader.py
+++ b/hornbeamgw/daemon/reader.py
@@ -65,7 +65,8 @@
 FLOOR_REQUEST_TIMEOUT_S = 0.4
 
 
-def _unready_reason(control: Control) -> str:
+def _awaited_version(control: Control) -> str:
+    """Describe the version that an unready daemon waits for; return "" if it is ready."""
     state = control.versions
     if versions.is_ready(state):
         return ""
@@ -433,7 +434,7 @@
     def describe(self) -> dict[str, Any]:
         """Return what this daemon waits for, whether it is a reader, and its read counts."""
         return {
-            "waiting_for": self.waiting_for or _unready_reason(self._control),
+            "waiting_for": self.waiting_for or _awaited_version(self._control),
             "is_reader": is_reader(
                 self._control.view.me, self._alive_members(), self._min_total_readers()
             ),
--- a/hornbeamgw/testing/memory.py
+++ b/hornbeamgw/testing/memory.py
@@ -14,7 +14,7 @@
 
 
 class MemoryPlatform:
-    """Table and object store in memory; each queued fault applies to one write."""
+    """Table and object store in memory; each queued fault applies to one transaction."""
 
     def __init__(self) -> None:
         """Create an empty store without faults."""
@@ -70,7 +70,7 @@
         return self.objects_by_name.get(name)
 
     async def put(self, name: str, value: bytes) -> None:
-        """Store an object; raise PlatformError while down."""
+        """Store an object unless its name exists; raise PlatformError while down."""
         self._check_reachable()
         self.objects_by_name.setdefault(name, value)
 
--- a/hornbeamgw/testing/mesh_load.py
+++ b/hornbeamgw/testing/mesh_load.py
@@ -19,8 +19,8 @@
 class Kind(NamedTuple):
     """Kind of request; times are in seconds, `rate` in requests per second.
 
-    `worth` is the value of an answer within the latency objective; `late_worth` is the fraction of
-    it that a later answer is worth before the deadline.
+    `worth` is the weight of a request in the goodput, if it is answered within the latency
+    objective. A later answer counts `late_worth` times as much if it meets the deadline.
     """
 
     name: str
@@ -141,7 +141,7 @@
 
 
 def max_worth_ratio(load: OfferedLoad) -> float:
-    """Return an upper bound of the mean ratio of earned to offered worth for any policy.
+    """Return an upper bound of the mean goodput ratio (see `mesh_model`) for any policy.
 
     Each service is treated as one pool of slots that is never idle and serves the requests with the
     highest worth per slot time first. Requests do not wait and run on the fastest server.
--- a/hornbeamgw/testing/mesh_model.py
+++ b/hornbeamgw/testing/mesh_model.py
@@ -29,9 +29,9 @@
 from hornbeamgw.testing.mesh_load import Kind, NestedCalls, Node, OfferedLoad
 
 HIGH_LIMITS = Limits(10_000, 0, 64)
-# One way between daemons, or from a daemon to its caller, including processing.
+# One-way delay between daemons, or from a daemon to its caller, including processing.
 HOP_DELAY_S = 0.0015
-CROSS_DC_DELAY_S = 0.0005
+CROSS_DC_DELAY_S = 0.0005  # added to HOP_DELAY_S between data centres
 CHECK_INTERVAL_S = 0.1
 MAX_REFUSALS = 3
 RETRY_JITTER_RATIO = 0.5
@@ -53,8 +53,12 @@
         self.failed_runs: Counter[str] = Counter()
         self.cross_dc_bytes = 0
 
-    def worth(self, kinds: Sequence[Kind]) -> float:
-        """Return the ratio of earned to offered worth."""
+    def goodput_ratio(self, kinds: Sequence[Kind]) -> float:
+        """Return the ratio of goodput to offered load, both weighted by the `worth` of each kind.
+
+        A request counts 1 if it is answered within its latency objective, `late_worth` if it is
+        answered later but before its deadline, and 0 otherwise.
+        """
         offered = sum(self.requested[kind.name] * kind.worth for kind in kinds)
         earned = sum(
             (self.in_time[kind.name] + self.late[kind.name] * kind.late_worth) * kind.worth
--- a/hornbeamgw/testing/rollout_model.py
+++ b/hornbeamgw/testing/rollout_model.py
@@ -24,6 +24,8 @@
 SERVICE, OLD, NEW = "roster", "v1", "v2"
 BOUND = ExposureBound(0.1, 50.0)
 ROLLBACK_LIMIT_S = 5.0
+# Acceptance limit, not a trigger of rollbacks: a bad version must not receive requests later than
+# ROLLBACK_LIMIT_S after this many bad answers. `sent_after_rollback` counts those that it does.
 BAD_ANSWERS_UNTIL_ROLLBACK = 50
 LEADER_INTERVAL_S = 0.05
 NEW_TALLY_INTERVAL_S, OLD_TALLY_INTERVAL_S = 0.15, 1.0
@@ -47,7 +49,8 @@
     """A service and its traffic: servers of each version, slots per server, requests per second.
 
     Each route is a pair of its share of the requests and their mean service time in seconds.
-    `non_idempotent_routes` are indices of routes; `long_ratio` of their requests are long.
+    `non_idempotent_routes` are indices of routes; `long_ratio` is the fraction of the requests on
+    these routes that are long (`LONG_WORK_RANGE_S`).
     """
 
     daemons: int
@@ -62,7 +65,7 @@
 class VersionFault(NamedTuple):
     """Fault of the new version; `begins` is in seconds, and `route` limits it to one route."""
 
-    share: float = 0.0  # of its answers
+    share: float = 0.0  # fraction of answers that are bad while the other conditions hold
     slowdown_factor: float = 0.0  # answers are slowed by this factor, or fail if 0
     begins: float = 0.0
     min_busy_ratio: float = 0.0  # ratio of busy slots above which the fault occurs
@@ -82,8 +85,8 @@
 class Outcome(NamedTuple):
     """Result of a rollout; times are in seconds after the order.
 
-    `exposed` counts requests that reached a bad version, `cut_off` requests that were running on an
-    old server when it was stopped, and `bad` answers affected by the version fault.
+    `exposed` counts requests that reached a bad version, `cut_off` counts requests that were
+    running on an old server when it was stopped, and `bad` counts answers affected by the fault.
     """
 
     phase: Phase | None
--- a/hornbeamgw/testing/simulated.py
+++ b/hornbeamgw/testing/simulated.py
@@ -27,13 +27,16 @@
 WORK_LOG_SIGMA = 0.5  # standard deviation of the logarithm of the work
 MAX_ATTEMPTS = 3
 ANSWER_BYTES = 1500
-END_OF_TIME_S = 1e9
+NEVER_S = 1e9  # later than any simulated time
 SAMPLING = "asking"  # chooser that queries a sample of the servers first
 SUBSET_SAMPLING = "asking_some"  # the same, restricted to the daemon's subset of servers
 
 
 class Kind(NamedTuple):
-    """Kind of request: mean work, latency objective and deadline in seconds, and its weight."""
+    """Kind of request: its mean work, latency objective and deadline are in seconds.
+
+    `weight` is its relative frequency.
+    """
 
     name: str
     work: float
@@ -156,7 +159,7 @@
             self._finish_until(arrival.at)
             self.outcome.requested[arrival.kind.name] += 1
             self._dispatch(arrival, number * MAX_ATTEMPTS, rng)
-        self._finish_until(END_OF_TIME_S)
+        self._finish_until(NEVER_S)
         return self.outcome
 
     def _dispatch(self, arrival: Arrival, number: int, rng: random.Random) -> None:
