--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -212,7 +212,7 @@
         connection.abort()
         raise ConnectionLost
 
-    context.backend._work = die
+    context.backend._serve = die
 
 
 def break_link(context, when_frame):
