--- a/hornbeamgw/commands/client.py
+++ b/hornbeamgw/commands/client.py
@@ -79,8 +79,9 @@
 async def live_admin_addresses(address: str) -> list[str]:
     """Return the admin addresses of all daemons that one daemon sees as alive or suspect.
 
-    `address` is the admin address of that one daemon. It is also returned in place of each admin
-    address that has not been published yet, because its daemon is still starting.
+    `address` is the admin address of that one daemon. A daemon that is still starting has not
+    published its admin address; `address` is returned for it instead, so it may occur more than
+    once.
     """
     status = (await send_request(address, "GET", "/status")).document
     members = [member for member in status["members"] if member["status"] in ("alive", "suspect")]
--- a/hornbeamgw/core/admission.py
+++ b/hornbeamgw/core/admission.py
@@ -1,8 +1,9 @@
 """Admission: decides whether a request starts, is queued or is refused at a backend server.
 
-Every request to a backend server passes through admission, so a refusal proves that the request
-did not run. After a connection loss the caller's daemon resolves an attempt by its id: an attempt
-that was never admitted is fenced, and refused if it arrives later.
+Every request to a backend server passes through admission. So a refused request did not run, unless
+it is a duplicate of an admitted one. After a connection loss, the caller's daemon asks whether an
+attempt may have run (`resolve`). An attempt that was never admitted is then fenced: it is refused
+even if it arrives later.
 """
 
 from __future__ import annotations
@@ -47,11 +48,12 @@
     "withdraw",
 ]
 
-# Attempts are recorded for this time, and up to this number, so that duplicates are refused.
+# Records of attempts, by which duplicates are refused, are kept for this time, up to this number.
 ATTEMPT_RETENTION_S = 60.0
 MAX_ATTEMPT_RECORDS = 100_000
 SERVICE_TIME_EWMA_WEIGHT = 0.1
-# Retry delay of refusals for which the queue policy gives none, such as those of a draining server.
+# Delay before a retry that is stated in refusals not due to a lack of slots, such as those of a
+# draining server.
 RETRY_AFTER_DRAIN_MS = 50
 
 
@@ -60,7 +62,10 @@
 
 
 def free_slots(state: AdmissionState) -> int:
-    """Return the number of slots that no running or queued request needs; 0 unless serving."""
+    """Return the number of slots that no running or queued request needs.
+
+    The result is 0 if the backend server is not serving.
+    """
     if state.server_state is not ServerState.SERVING:
         return 0
     return max(0, state.slots - len(state.running_by_attempt) - len(state.queue))
@@ -77,6 +82,7 @@
 
 
 def _reserved_for_others(state: AdmissionState, entry: str) -> int:
+    """Return how many more slots must stay free for the other entries of the catalogue."""
     running = state.running_count_by_entry
     return sum(
         max(0, reserved - running.get(name, 0))
@@ -93,7 +99,7 @@
     if running < request.limits.reserved:
         return free > 0
     reserved_for_others = _reserved_for_others(state, request.entry)
-    # Only the last slot that is not reserved may be kept for more urgent requests.
+    # The queue policy may keep a slot for more urgent requests, but only the last unreserved one.
     if free != reserved_for_others + 1:
         return free > reserved_for_others
     return not state.policy.keeps_last_slot(state, request, now)
@@ -165,8 +171,8 @@
 def admit(state: AdmissionState, request: Request, service: str, now: float) -> Decision:
     """Start, queue or refuse a request that has just arrived.
 
-    A request whose attempt is already recorded is refused: it is a duplicate, or `resolve` fenced
-    the attempt, that is, reported to the caller's daemon that it did not run.
+    A request whose attempt is already recorded is refused: it is a duplicate, or `resolve` has
+    fenced the attempt, that is, told the caller's daemon that it did not run.
     """
     record = state.records_by_attempt.get(request.attempt)
     if record is not None:
@@ -196,7 +202,10 @@
 
 
 def next_decisions(state: AdmissionState, now: float) -> list[Decision]:
-    """Refuse queued requests that would end too late, and start those for which a slot is free."""
+    """Refuse queued requests that would end too late, and start those for which a slot is free.
+
+    Returns the decisions on these requests.
+    """
     if not state.queue:
         return []
     timed_out = state.policy.too_late(state, now)
@@ -221,7 +230,7 @@
     """Free the slot of a request and return the decisions that follow for queued requests.
 
     The service time is recorded only if the server has processed the request and has not been
-    restarted since.
+    restarted since the request was started.
     """
     request = state.running_by_attempt.pop(attempt)
     is_same_process = state.started_by_attempt.pop(attempt, None) is not None
@@ -253,7 +262,7 @@
 
 
 def forget_run(state: AdmissionState) -> None:
-    """Discard the service time statistics of the previous server process."""
+    """Discard the statistics of the backend server's previous process, such as service times."""
     state.service_time_estimates = ServiceTimes()
     state.slacks_by_route.clear()
     state.slot_use_by_route.clear()
@@ -264,7 +273,8 @@
 def resolve(state: AdmissionState, attempt: AttemptId, age: float, now: float) -> Verdict:
     """Return whether an attempt made `age` seconds ago may have run.
 
-    An attempt that was not admitted is fenced: it is refused if it arrives later.
+    An attempt that was not admitted is fenced: it is removed from the queue, and refused if it
+    arrives later. An attempt whose record may have expired may have run.
     """
     record = state.records_by_attempt.get(attempt)
     if record is None and age >= ATTEMPT_RETENTION_S:
--- a/hornbeamgw/core/backlog.py
+++ b/hornbeamgw/core/backlog.py
@@ -1,4 +1,7 @@
-"""Backlog: estimate when queued requests will start, by list scheduling."""
+"""Backlog: estimate when queued requests will start.
+
+Each request, in queue order, takes the slot that becomes free first (list scheduling).
+"""
 
 from __future__ import annotations
 
--- a/hornbeamgw/core/balancing.py
+++ b/hornbeamgw/core/balancing.py
@@ -18,13 +18,16 @@
 if TYPE_CHECKING:
     from hornbeamgw.core.placement import RouteTraits
 
-# The capacity of a new server ramps up from the minimum ratio over the slow start period.
+# Slow start: over this time, the ratio of its capacity that a new server is assumed to have rises
+# from this minimum to 1.
 SLOW_START_S = 5.0
 SLOW_START_MIN_RATIO = 0.1
-# Consecutive failures that eject a server, and the length of the first and the longest ejection.
+# An ejected server is not selected for a time. A server is ejected after this number of consecutive
+# failures, first for the base time, then twice as long each time, up to `EJECT_MAX_S`.
 EJECT_FAILURE_THRESHOLD = 5
 EJECT_BASE_S = 1.0
-# Length of an ejection because a daemon is unreachable; a killed daemon restarts in about a second.
+# Length of an ejection because a daemon is unreachable. Shorter than a restart (about 1 s), so that
+# a restarted daemon is used again soon.
 EJECT_UNREACHABLE_S = 0.5
 EJECT_MAX_S = 30.0
 # Ejections are ignored while more than this ratio of the candidates is ejected.
@@ -43,10 +46,10 @@
     failures : int
         Consecutive failed attempts.
     ejections : int
-        Consecutive ejections, which set the length of the next one.
+        Ejections since the last successful attempt. Each doubles the length of the next one.
     ejected_until, first_seen, reported_at, outcome_at : float
-        Times in seconds: the end of the ejection, the first sighting of the server, its last
-        report and the last outcome of an attempt.
+        Times in seconds: the end of the ejection, the first sighting of the server, the last report
+        from its daemon and the last outcome of an attempt.
     wait : float
         Queueing time in seconds in the last report.
     sent_since_report : int
@@ -86,7 +89,7 @@
 
 
 def candidate_of(member: Member, load: Load) -> Candidate:
-    """Return the candidate for the only server of a membership record."""
+    """Return the candidate for a server, given a membership record that describes it alone."""
     return Candidate(member, load, server_key(member))
 
 
@@ -158,13 +161,13 @@
 
 
 def note_success(load: Load) -> None:
-    """Reset the failure and ejection counts."""
+    """Reset the failure and ejection counts of a server after a successful attempt."""
     load.failures = 0
     load.ejections = 0
 
 
 def serving(members: Collection[Member], service: str) -> list[Member]:
-    """Return one record for each backend server that accepts new requests for a service."""
+    """Return a membership record for each backend server that accepts requests for a service."""
     return [
         m
         for member in members
@@ -188,6 +191,7 @@
 
 
 def _locality_tiers(me: Member, candidates: list[Candidate]) -> list[list[Candidate]]:
+    """Return the tiers of candidates (see `choose`), nearest first, without empty ones."""
     alive = [c for c in candidates if c.member.status is Status.ALIVE]
     local = [c for c in alive if c.member.data_centre == me.data_centre]
     region = [c for c in alive if c.member.region == me.region]
@@ -200,7 +204,7 @@
     Attributes
     ----------
     me : Member
-        Record of the daemon that selects.
+        Membership record of the daemon that selects the server.
     candidates : list of Candidate
         The servers to select from.
     tried : collection of str
@@ -246,7 +250,8 @@
 def chooser_of(name: str) -> Chooser:
     """Return the chooser with a name in the settings.
 
-    If the name is that of a policy, the chooser applies it to the nearest tier with free slots.
+    If the name is that of a policy, the chooser applies it to the nearest servers with free slots
+    (see `choose`).
     """
     if name in choosers_by_name:
         return choosers_by_name[name]
@@ -266,7 +271,12 @@
     now: float,
     rng: random.Random,
 ) -> Candidate | None:
-    """Return a server from the nearest tier with free slots, preferring untried servers."""
+    """Return a server from the nearest tier with free slots, preferring untried servers.
+
+    Servers whose daemons are alive form three tiers: those in the data centre of `me`, those in its
+    region, and all. The last tier is all candidates; if none has free slots, one of them is
+    returned.
+    """
     fresh = [c for c in candidates if c.key not in tried] or candidates
     tiers = _locality_tiers(me, _without_ejected(fresh, now))
     for tier in tiers:
--- a/hornbeamgw/core/breaker.py
+++ b/hornbeamgw/core/breaker.py
@@ -1,8 +1,9 @@
 """Circuit breaker: stop sending requests to a backend server that drops its connections.
 
-Non-idempotent calls that may have run can't be retried, so each daemon would have to detect a
-failing server through failed calls of its own. The daemon next to the server sees all of its
-failures and can refuse later requests with certainty that they did not run.
+The breaker is in the daemon next to the server. This daemon sees all failures of the server, and
+the requests that it refuses certainly did not run, so they can be retried. Without the breaker,
+each other daemon would detect a failing server only through failed calls of its own, and
+non-idempotent calls that may have run can't be retried.
 
 Only early losses count: connections that are refused or lost before the request could have been
 processed. A response that is lost after the work was done says nothing about the next request.
@@ -15,7 +16,8 @@
 OPEN_AFTER_LOSSES = 2
 # A loss counts as early before this ratio of the expected service time has passed.
 EARLY_LOSS_RATIO = 0.2
-# Time for which the breaker stays open; it doubles with each opening up to the maximum.
+# Time for which the breaker stays open, that is, refuses all requests. It doubles with each opening
+# up to the maximum.
 OPEN_BASE_S = 0.1
 OPEN_MAX_S = 0.8
 
@@ -64,7 +66,7 @@
 
 
 def note_sound(state: BreakerState) -> None:
-    """Close the breaker after any response from the server."""
+    """Close the breaker (allow requests again) after any response from the server."""
     state.consecutive_losses = 0
     state.open_count = 0
     state.probe_until = 0.0
--- a/hornbeamgw/core/catalogue.py
+++ b/hornbeamgw/core/catalogue.py
@@ -23,7 +23,7 @@
 
 
 class LimitsBody(TypedDict):
-    """Admission limits of an entry at each backend server."""
+    """Limits of an entry at each backend server: slots, reserved slots and queue length."""
 
     slots: PositiveCount
     reserved: NotRequired[Count]
@@ -31,7 +31,7 @@
 
 
 class EntryBody(TypedDict):
-    """Entry: an owner, a traffic class and admission limits."""
+    """Entry: the owner, traffic class and admission limits that a group of routes shares."""
 
     name: Name
     owner: Name
@@ -40,7 +40,7 @@
 
 
 class ServiceBody(TypedDict):
-    """Service that backend servers announce."""
+    """Service, which backend servers announce and to which routes send requests."""
 
     name: Name
     owner: Name
@@ -55,7 +55,11 @@
 
 
 class RouteBody(TypedDict):
-    """Route from a host, path prefix and methods to an entry and a service or weighted split."""
+    """Route: requests with this host, path prefix and methods go to a service.
+
+    With `split` instead of `service`, they are divided between several services by weight. `entry`
+    names the entry of the catalogue whose owner, traffic class and admission limits apply to them.
+    """
 
     name: Name
     host: Host
@@ -101,7 +105,7 @@
 
 
 class ParsedFile(NamedTuple):
-    """Parsed catalogue file: item bodies, revisions of the items that state one, and version."""
+    """Parsed catalogue file: item bodies, revisions of items that state one, catalogue version."""
 
     bodies_by_key: dict[str, dict[str, Any]]
     revisions_by_key: dict[str, int]
@@ -216,12 +220,15 @@
 
 
 def changed_keys(items: Items, base: Items) -> list[str]:
-    """Return the sorted keys of items that are not in the base as the same object."""
+    """Return the sorted keys of the items that `base` lacks or has as a different object."""
     return sorted(key for key, item in items.items() if base.get(key) is not item)
 
 
 def _duplicate_match_problems(items: Items, hosts: set[str], source: str) -> list[Problem]:
-    """Return a problem for each route of the given hosts with the same match as another route."""
+    """Return a problem for each host, prefix and method that a route shares with another.
+
+    Only routes of the given hosts are compared.
+    """
     problems: list[Problem] = []
     routes_by_match: dict[tuple[str, str, str], str] = {}
     for key in sorted(key for key in items if key.startswith("route/")):
@@ -237,7 +244,7 @@
 
 
 def _has_removed_targets(items: Items, validated: Items) -> bool:
-    """Return whether an entry or service that a validated route may refer to was removed."""
+    """Return whether an entry or service was removed; a validated route may refer to it."""
     return any(key not in items and not key.startswith("route/") for key in validated)
 
 
@@ -245,7 +252,8 @@
     """Return every problem of a whole catalogue: format, names, references and sizes.
 
     `validated` contains the items of a catalogue that is known to be valid. Only items that differ
-    from it are checked, and other routes only if such a change could make them invalid.
+    from it are checked. Unchanged routes are checked only if an entry or service was removed, or if
+    another route of the same host has changed.
     """
     problems: list[Problem] = []
     if len(items) > MAX_ITEMS:
--- a/hornbeamgw/core/commit.py
+++ b/hornbeamgw/core/commit.py
@@ -1,7 +1,8 @@
 """Commit of a catalogue version: the transaction that stores its delta in the platform's table.
 
-The head row names the newest version. It is replaced conditionally, so that concurrent commits
-of the same version cannot both succeed.
+A delta is the difference from the previous version. The head row names the newest version. A commit
+replaces this row only if it has not changed meanwhile, so that concurrent commits of the same
+version cannot both succeed.
 """
 
 from __future__ import annotations
@@ -61,7 +62,9 @@
 def plan(head: Head, head_etag: str | None, delta: Delta, with_snapshot: bool) -> Plan:
     """Return the conditional transaction that commits a delta and replaces the head.
 
-    With `with_snapshot`, the new head names a snapshot of the new version.
+    With `with_snapshot`, the new head names a snapshot of the new version. The transaction also
+    deletes the delta that is `RETAINED_DELTA_ROWS` versions old, if the snapshot named by the
+    previous head covers it.
     """
     version = delta["version"]
     new_head = Head(
@@ -82,7 +85,7 @@
 
 
 def find_edit(deltas: Sequence[Delta], edit_id: str) -> Delta | None:
-    """Return the delta that was accepted from an edit, or None if none of the given deltas was."""
+    """Return the delta that was created from an edit, or None if it is not among `deltas`."""
     return next((delta for delta in deltas if delta["edit_id"] == edit_id), None)
 
 
--- a/hornbeamgw/core/crossing.py
+++ b/hornbeamgw/core/crossing.py
@@ -5,7 +5,8 @@
 stays local while the local server is likely to answer in time. It goes to another data centre if
 the higher probability of a timely answer outweighs the cost of the transferred bytes.
 
-Losses and costs are expressed as fractions of the value of a timely answer.
+Losses and costs are expressed as fractions of the value of a timely answer. The loss of sending a
+call to a server covers late and failed answers, the completion time and the transfer.
 """
 
 from __future__ import annotations
@@ -20,7 +21,8 @@
 from hornbeamgw.core.placement import RouteTraits
 
 # Service times are modelled as log-normal. The standard deviation of their logarithm is
-# approximated by this factor times the mean absolute deviation divided by the mean.
+# approximated by this factor times the mean absolute deviation divided by the mean, but is at least
+# `MIN_LOG_SPREAD`.
 LOG_SPREAD_PER_DEVIATION = 1.25
 MIN_LOG_SPREAD = 0.2
 # Transfer size that costs half the value of a timely answer.
@@ -87,7 +89,7 @@
 def expected_loss(choice: Choice, candidate: Candidate) -> float:
     """Return the expected loss if the call is sent to a server.
 
-    A loss of 1 is the value of a timely answer; penalties may add up to more than that.
+    A loss of 1 is the value of a timely answer; the sum of all losses may be greater.
     """
     load, wait = candidate.load, _expected_delay(choice, candidate)
     late = late_probability(choice.traits, load.slowness, wait, choice.time_left)
@@ -98,7 +100,10 @@
 
 
 def is_remote_better(choice: Choice, local: Candidate | None) -> bool:
-    """Return whether an idle remote server would beat the best local one, if any."""
+    """Return whether an idle remote server would have a smaller expected loss than the local one.
+
+    `local` is the best local server; if it is None, the result is True.
+    """
     if local is None:
         return True
     traits, wait = choice.traits, placement.CROSS_DATA_CENTRE_RTT_S
@@ -109,7 +114,10 @@
 
 
 class RemoteReason(enum.StrEnum):
-    """Why a call is sent to another data centre."""
+    """Why a call is sent to another data centre.
+
+    There is no local server, all local ones have been tried, or a remote one was preferred to them.
+    """
 
     NONE_NEAR = "none near"
     NEAR_REFUSED = "near refused"
@@ -134,7 +142,7 @@
 
 @register_chooser("in_time")
 def choose(choice: Choice, rng: random.Random) -> Candidate | None:
-    """Return the server with the smallest expected loss, or None."""
+    """Return the server with the smallest expected loss, or None if no server is usable."""
     usable = placement.usable_candidates(choice)
     return min(
         usable,
--- a/hornbeamgw/core/dialect.py
+++ b/hornbeamgw/core/dialect.py
@@ -22,7 +22,7 @@
     instance : bytes
         Header in which a backend server identifies its instance in a health check.
     signature : bytes
-        Header that proves that an answer was created by the backend server.
+        Header that proves by its presence that an answer was created by the backend server.
     not_run : bytes
         Header that states that the backend server did not run the request.
     other_instance_status : int
@@ -78,14 +78,17 @@
 
 
 def is_answer_to(dialect: Dialect, answer: AnswerHead, call_id: bytes) -> bool:
-    """Return whether an answer belongs to this call, or carries no call id."""
+    """Return whether an answer belongs to this call.
+
+    The result is True if the answer carries no call id or the dialect does not use it in answers.
+    """
     if not dialect.echoes_call_id:
         return True
     return _header_value(answer.headers, dialect.call_id) in (None, call_id)
 
 
 def invalid_reason(dialect: Dialect, answer: AnswerHead, call_id: bytes) -> str:
-    """Return why a successful answer is not valid, or an empty string."""
+    """Return why a successful answer is not valid; empty if it is, or if it is not a success."""
     if not 200 <= answer.status < 300:
         return ""
     if dialect.signature and _header_value(answer.headers, dialect.signature) is None:
--- a/hornbeamgw/core/edit.py
+++ b/hornbeamgw/core/edit.py
@@ -20,7 +20,10 @@
 
 
 class Change(TypedDict):
-    """Requested new body of an item, or None to delete it, and the revision it is based on."""
+    """Requested new body of an item, or None to delete the item.
+
+    `based_on` is the revision of the item that the change is based on; 0 if there is no such item.
+    """
 
     key: str
     based_on: int
@@ -46,7 +49,8 @@
     """Accepted catalogue version, as the difference from its parent version.
 
     Versions of an external source are not consecutive, so their deltas name the parent version.
-    Daemons may observe different subsets of these versions, so the items have no revision.
+    Daemons may observe different subsets of these versions and would not agree on which one last
+    changed an item, so the items have no revision (`NO_REVISION`).
     """
 
     version: int
@@ -60,7 +64,7 @@
 
 
 class Conflict(NamedTuple):
-    """Change whose base revision is not current, with the current and the requested body."""
+    """Change not based on the item's current revision, with the current and the requested body."""
 
     key: str
     based_on: int
@@ -77,7 +81,7 @@
 
 
 class Catalogue(NamedTuple):
-    """All items of one catalogue version, with their digest."""
+    """All items of one catalogue version, and the digest of the whole catalogue."""
 
     version: int
     digest: str
@@ -118,7 +122,7 @@
 
 
 def accept(catalogue: Catalogue, edit: Edit, at_ms: int) -> Result[Delta, Rejection]:
-    """Return the delta that turns an edit into the next version, or the reasons to reject it."""
+    """Return the delta by which an edit makes the next version, or the reasons to reject it."""
     conflicts = find_conflicts(catalogue, edit)
     if conflicts:
         return Err(Rejection(conflicts=conflicts))
@@ -190,7 +194,7 @@
 def requested_changes(
     current: Catalogue, wanted: ParsedFile, prune: bool, onto_current: bool
 ) -> list[Change]:
-    """Return the changes from the current catalogue to a file, with their base revisions.
+    """Return the changes that turn the current catalogue into that of a file.
 
     With `prune`, items that the file lacks are deleted. With `onto_current`, changes are based on
     the current revisions instead of those that the file states.
@@ -209,7 +213,8 @@
     for key, item in current.items.items():
         if key in wanted.bodies_by_key:
             continue
-        # Base revision 0 makes the deletion of an item that the author has not seen a conflict.
+        # The deletion of an item that the author has not seen is based on revision 0, so that it is
+        # rejected as a conflict.
         seen_by_author = onto_current or (
             wanted.version is not None and item.revision <= wanted.version
         )
--- a/hornbeamgw/core/evidence.py
+++ b/hornbeamgw/core/evidence.py
@@ -17,11 +17,11 @@
 
 from hornbeamgw.core.tally import Count, Tally
 
-# A version is rolled back at once at this many standard deviations. The threshold is high because
-# it is checked many times a second.
+# A version is rolled back at once if its bad answers exceed the baseline by this many standard
+# deviations. The threshold is high because it is checked many times a second.
 ROLLBACK_DEVIATIONS = 5.0
-# The version is rolled back at this many standard deviations when the rollout is decided. The
-# threshold is lower, since this check is made only once.
+# When the rollout is decided, the version is rolled back if the excess is this many standard
+# deviations. The threshold is lower, since this check is made only once.
 DOUBT_DEVIATIONS = 2.0
 # Threshold of the same check when the excess of one more of the worst servers is left uncapped
 # (`Degradation.with_one_more`): if there are few servers, the failing requests may all have reached
@@ -29,18 +29,21 @@
 DOUBT_DEVIATIONS_WITH_ONE_MORE = 2.25
 # Subtracted from the deviations of a single route: one of many routes may look bad by chance.
 ROUTE_ALLOWANCE_DEVIATIONS = 0.5
-# Limits of the baseline ratio of bad answers.
+# Limits of the baseline ratio of bad answers, whatever the ratio of the old servers. So a small
+# ratio of bad answers is no excess, and a version can be found bad even while the old servers fail.
 MIN_BAD_RATIO = 0.02
 MAX_BAD_RATIO = 0.5
 # The baseline decays quickly, since bursts and faults are transient.
 BASELINE_HALF_LIFE_S = 2.0
-# Weight, as a number of answers, of the ratio that is assumed before a route has answers.
+# Weight, as a number of answers, of the ratio over all routes in the baseline ratio of one route,
+# and of `MIN_BAD_RATIO` in the ratio over all routes.
 BASELINE_PRIOR_ANSWERS = 40.0
 # Length of the window in which recent answers are also evaluated separately.
 RECENT_WINDOW_S = 3.0
-# Fraction of the version's servers that may be faulty for reasons other than the version.
+# Fraction of the new version's servers that may be faulty for reasons other than the version. The
+# excess of this many of the worst servers is capped.
 FAULTY_SERVER_RATIO = 0.15
-# Added to the variance, which is too small an estimate for few answers.
+# Added to the variance of the excess, which is estimated too small from few answers.
 EXTRA_VARIANCE = 0.5
 # Answers of the new version that are required to accept it.
 MIN_ANSWERS = 12
@@ -94,10 +97,10 @@
 
 
 class Degradation(NamedTuple):
-    """How much worse a version answers, in standard deviations, and on which route.
+    """How much worse a version answers, in standard deviations, and on which route (or all).
 
-    `with_one_more` is the number of standard deviations when the excess is capped for one server
-    fewer, so that the excess of one more of the worst servers counts in full.
+    `with_one_more` is the number of standard deviations when the excess of one more of the worst
+    servers is left uncapped.
     """
 
     deviations: float
@@ -124,7 +127,7 @@
 
 
 def _count_since(now: Count, before: Count) -> Count:
-    """Return the increase of a count; a count that decreased has been reset."""
+    """Return the increase of a count since `before`, or all of it if it has been reset."""
     if now.answers < before.answers or now.bad < before.bad:
         return now
     return Count(now.answers - before.answers, now.bad - before.bad)
@@ -135,14 +138,17 @@
 
 
 def record_tally(state: EvidenceState, server: str, tally: Tally, now: float) -> None:
-    """Record the cumulative counts of a server, which make up for reports that were lost."""
+    """Record the counts of a server's answers.
+
+    The counts are cumulative, so a report also covers the answers in earlier ones that were lost.
+    """
     previous = state.tallies_by_server.get(server)
     known = (
         {} if previous is None or previous.software != tally.software else previous.counts_by_route
     )
     state.tallies_by_server[server] = tally
     if previous is None and tally.software != state.target:
-        return  # These answers may have been given before the order.
+        return  # These answers may be older than the rollout.
     for route, count in tally.counts_by_route.items():
         added = _count_since(count, known.get(route, Count()))
         if not added.answers:
@@ -201,10 +207,10 @@
 
 
 def measure_degradation(state: EvidenceState, servers: Collection[str], now: float) -> Degradation:
-    """Return how much worse the version answers than the old one.
+    """Return how much worse the new version answers than the old one.
 
-    `servers` are the keys of the servers that run the version; their number determines how many of
-    the worst servers are capped.
+    `servers` are the keys of the servers that run the new version. Their number determines for how
+    many of the worst servers the excess of bad answers is capped.
     """
     _expire_recent(state, now)
     faulty = 0 if len(servers) < 2 else math.ceil(FAULTY_SERVER_RATIO * len(servers))
--- a/hornbeamgw/core/exposure.py
+++ b/hornbeamgw/core/exposure.py
@@ -2,9 +2,9 @@
 
 The limit (`ExposureBound`) holds for the whole fleet without a coordinator. Each daemon sends the
 new version at most a share of the requests that it has itself sent to servers of the service since
-it received the order, plus an equal share of the slack. A daemon that receives no further updates
-stays within this limit, and one that has just started begins at zero. So the limit holds even if
-several daemons lead the rollout or none does.
+it received the rollout order, plus an equal part of a fixed number of requests (the slack). A
+daemon that receives no further updates stays within its limit, and one that has just started begins
+at zero. So the limit holds even if several daemons lead the rollout or none does.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from hornbeamgw.core.membership import Member, server_key
 from hornbeamgw.core.standing import Closing, Phase, RolloutStatus, supersedes
 
-# Fractions of the share and of the slack that are used; the remainder covers requests in flight and
-# daemons that receive an order late.
+# Fractions of the share and of the slack of an `ExposureBound` that are used; the remainder covers
+# requests in flight and daemons that receive a rollout order late.
 USABLE_SHARE_RATIO = 0.9
 USABLE_SLACK_RATIO = 0.7
-# Fraction of the allowed requests that the canary phase (`Phase.TRIAL`) may use; the rest is for
-# the full move, in which all requests go to the new version shortly before the decision. The canary
-# phase may also use the slack, up to the maximum fraction: at a low request rate the full move
-# shows little about how a version behaves under load.
+# Fraction of the requests allowed to the new version that the canary phase (`Phase.TRIAL`) may use;
+# the rest is for the full move, in which all requests go to this version shortly before it is
+# accepted or rolled back. The canary phase may also use the slack, up to the maximum fraction: at a
+# low request rate the full move shows little about how a version behaves under load.
 CANARY_RATIO = 0.4
 MAX_CANARY_RATIO = 0.75
 # The canary servers (servers of the new version) are divided into groups, and each canary period
@@ -41,7 +41,7 @@
 # Time for which servers of a version that has just appeared get no requests, so that a rollout
 # order for it may still arrive.
 NEW_VERSION_HOLD_S = 1.0
-# A daemon stops sending to a version after this many bad answers if they are the majority.
+# A daemon stops sending to a version after this many bad answers if they are most of its answers.
 BAD_ANSWERS_LIMIT = 6
 MAX_VERSIONS = 256
 
@@ -49,7 +49,7 @@
 
 
 class ExposureBound(NamedTuple):
-    """Limit of the requests to a canary version: a share of all requests, plus a fixed slack."""
+    """Limit of the requests to a canary version: a share of all, plus a fixed number (slack)."""
 
     share: float
     slack: float
@@ -71,7 +71,7 @@
 
 
 class RequestTraits(NamedTuple):
-    """Properties of a request that determine its `Arm`.
+    """Properties of a request that determine the group of servers for it (`Arm`).
 
     `length_s` is the expected service time in seconds. `has_waited` is whether a request that is
     not idempotent has already been delayed because it must not run on servers about to be stopped.
@@ -88,7 +88,7 @@
     """Rollout statuses received by this daemon, and the requests it sent to canary versions."""
 
     def __init__(self, bound: ExposureBound) -> None:
-        """Create a state without rollouts; the bound applies to the whole fleet."""
+        """Create a state without rollouts; `bound` limits the requests of all daemons together."""
         self.bound = bound
         self.fleet_size = 1
         self.status_by_version: dict[Version, RolloutStatus] = {}
@@ -100,7 +100,7 @@
 
 
 def receive(state: ExposureState, received: RolloutStatus, now: float) -> bool:
-    """Store a status; return whether it supersedes the one stored before."""
+    """Store a rollout status; return whether it supersedes the one stored for the same version."""
     version = received.service, received.target
     known = state.status_by_version.get(version)
     if not supersedes(received, known):
@@ -117,7 +117,7 @@
 
 
 def note_members(state: ExposureState, fleet_size: int) -> None:
-    """Record the number of daemons; the slack is divided by the largest number recorded."""
+    """Record the number of daemons. `ExposureBound.slack` is divided by the largest one."""
     state.fleet_size = max(state.fleet_size, fleet_size)
 
 
@@ -160,7 +160,8 @@
 def _has_room(state: ExposureState, status: RolloutStatus, rng: random.Random) -> bool:
     """Return whether one more request may go to a canary version.
 
-    The limit is rounded up or down at random, so that the fleet as a whole reaches its limit.
+    The limit of this daemon is rounded up or down at random, so that the fleet as a whole reaches
+    its limit.
     """
     counts = state.counts_by_version[status.service, status.target]
     if _looks_bad(counts):
@@ -173,7 +174,10 @@
 
 
 def canary_allowance(allowed: float, slack: float) -> float:
-    """Return how many of the allowed requests (including the slack) the canary phase may use."""
+    """Return how many requests the canary phase may send to the new version.
+
+    `allowed` is the number that the whole rollout may send, including the slack.
+    """
     return min(MAX_CANARY_RATIO * allowed, CANARY_RATIO * allowed + slack)
 
 
@@ -217,10 +221,11 @@
 def _select_non_idempotent_arm(
     state: ExposureState, current: RolloutStatus, has_waited: bool, rng: random.Random
 ) -> Arm:
-    """Return the arm of a non-idempotent request shortly before the old servers are stopped.
+    """Return the servers for a non-idempotent request shortly before the old servers are stopped.
 
-    A waiting request checks the limit many times, and random rounding would eventually let it
-    exceed the limit. So after the first check it waits until the order is decided.
+    A waiting request checks the limit of requests to the new version many times, and random
+    rounding would eventually let it exceed the limit. So after the first check it waits until
+    the rollout is decided.
     """
     if not has_waited and _has_room(state, current, rng):
         return Arm.NEW
@@ -231,7 +236,8 @@
 def closed_step(state: ExposureState, service: str, software: str) -> int:
     """Return the rollout step at which servers of a version were closed, or 0 if they are open.
 
-    A closed server accepts no further requests that are not idempotent.
+    Old servers are closed before they are stopped: they accept no further requests that are not
+    idempotent.
     """
     current = state.current_by_service.get(service)
     if current is None or software == current.target or current.phase is not Phase.MOVING:
@@ -263,7 +269,7 @@
 
 
 def _is_in_use(state: ExposureState, service: str, software: str) -> bool:
-    """Return whether no order excludes a version from regular traffic."""
+    """Return whether no rollout order excludes a version from regular traffic."""
     current = state.current_by_service.get(service)
     if current is not None and current.phase is Phase.DONE and software != current.target:
         seen = state.first_seen_by_version.get((service, software), math.inf)
