--- a/hornbeamgw/core/finding.py
+++ b/hornbeamgw/core/finding.py
@@ -5,10 +5,11 @@
 import enum
 from typing import NamedTuple
 
-# Maximum number of fingerprints in a finding: enough for the requests that are running when a
-# server crashes and those that were cancelled shortly before.
+# Maximum number of fingerprints (8 bytes each) in a finding. If a crash has more possible causes,
+# the finding names the requests that the most earlier crash reports name.
 MAX_FINGERPRINTS = 16
-# Limits the size of all findings in a member record to about 1 KB.
+# Maximum number of findings of each kind that a daemon publishes, so that all findings in its
+# member record take about 1 KB.
 MAX_FINDINGS_PER_KIND = 4
 MAX_FINDINGS = 3 * MAX_FINDINGS_PER_KIND
 
@@ -22,7 +23,7 @@
 
 
 class Finding(NamedTuple):
-    """One finding; numbers increase with each finding of a daemon, also across restarts."""
+    """One finding; a daemon gives each new finding a higher number, also across restarts."""
 
     number: int
     kind: FindingKind
--- a/hornbeamgw/core/fingerprint.py
+++ b/hornbeamgw/core/fingerprint.py
@@ -1,12 +1,13 @@
-"""Fingerprints: identify repeated requests with equal content but different ids."""
+"""Fingerprints: hashes that are equal for requests with equal content but different ids."""
 
 from __future__ import annotations
 
 import hashlib
 from collections.abc import Iterable
 
+# Stands for the fingerprint of a request for which none has been computed or received.
 UNKNOWN = 0
-# With 64 bits, the risk of a collision with a quarantined request is negligible.
+# 64 bits make it very unlikely that a request has the fingerprint of another, quarantined one.
 FINGERPRINT_BYTES = 8
 LENGTH_PREFIX_BYTES = 8
 
--- a/hornbeamgw/core/floor.py
+++ b/hornbeamgw/core/floor.py
@@ -13,7 +13,7 @@
 
 
 class FloorAnswer(NamedTuple):
-    """Version reported by a peer (0 if none), and whether a read of the platform confirmed it."""
+    """A peer's catalogue version (0 if none), and whether a read of the platform confirmed it."""
 
     version: int
     confirmed: bool
@@ -31,6 +31,9 @@
 ) -> FloorDecision:
     """Determine the floor, the lowest catalogue version that this daemon may apply.
 
+    The highest confirmed answer decides. Without one, all peers that are alive must have answered;
+    the highest answer then decides, unless no peer has a version.
+
     `answers_by_peer` contains all peers in the data centre, with None for each peer that did not
     respond.
     """
--- a/hornbeamgw/core/membership.py
+++ b/hornbeamgw/core/membership.py
@@ -2,8 +2,8 @@
 
 Members are probed directly, then indirectly, and are suspected before they are declared dead; a
 suspected member can refute the suspicion. A member's record also carries the state of the backend
-servers on its host. Only the member itself changes its record, apart from the status; records are
-ordered by (incarnation, sequence, status).
+servers on its host. Only the member itself changes its record, apart from the status. Of two
+records of a member, the one with the higher (incarnation, sequence, status) is newer.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Status(enum.IntEnum):
-    """Status of a member; for equal incarnation and sequence, the higher value wins."""
+    """Status of a member; of two records with equal incarnation and sequence, the higher wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -56,7 +56,7 @@
     daemon's first backend server: `server` is its number within the daemon, `server_started_ms`
     the Unix time in milliseconds at which its process started, and `software` the version that it
     runs. `version` is the highest catalogue version that the daemon has reported, and `bandwidth`
-    is in bytes per second, 0 if unknown.
+    that of the VM's link in bytes per second, 0 if unknown.
     """
 
     address: str
@@ -157,15 +157,17 @@
 INDIRECT_PROBE_COUNT = 3
 MAX_GOSSIP_RECORDS = 10
 RETRANSMIT_FACTOR = 2
-# On average, one in this number of probes goes to a dead member.
+# If members are dead, one in this number of probes goes to one of them on average, with its record
+# attached, so that a member that is alive after all can refute it.
 DEAD_PROBE_INTERVAL_TICKS = 10
 # A daemon that restarts while the platform's store is unavailable knows no other member and joins
 # through the first one that contacts it. The fleet as a whole therefore probes each member that
 # recently went down at this average rate, for the length of this window.
 RESTART_PROBES_PER_S = 4.0
 RESTART_PROBE_WINDOW_S = 30.0
-# Number of consecutive view hash mismatches after which full views are exchanged. A mismatch counts
-# as several while no gossip is queued that could resolve it.
+# Number of consecutive mismatches between received view hashes and the daemon's own after which
+# full views are exchanged. A mismatch counts as `IDLE_MISMATCH_WEIGHT` while no gossip is queued
+# that could resolve it.
 RECONCILE_MISMATCH_THRESHOLD = 6
 IDLE_MISMATCH_WEIGHT = 2
 MIN_RECONCILE_INTERVAL_S = 2.0
@@ -177,7 +179,7 @@
 
 
 class _Pending(NamedTuple):
-    """A probe without an answer; `indirect` is set once other members were requested to probe."""
+    """An unanswered probe; `indirect` is set once other members were asked to probe the target."""
 
     target: str
     sent_at: float
@@ -274,7 +276,7 @@
 def is_newer(state: MembershipState, address: str, rank: tuple[int, int, int]) -> bool:
     """Return whether (incarnation, sequence, status) is newer than the stored record's.
 
-    merge() ignores records for which this is false, also those of the daemon itself.
+    merge() ignores a record for which this is false, also one of this daemon itself.
     """
     current = state.members_by_address.get(address)
     return current is None or rank > _rank(current)
@@ -301,7 +303,8 @@
 ) -> None:
     """Store the received records that are newer, and refute newer ones about this daemon.
 
-    Pass `propagate=False` for records of a full view: the daemon that sent it gossips them.
+    Pass `propagate=False` for the records of a full view, so that they are not attached to further
+    messages: the daemon that sent the view gossips them.
     """
     for member in received:
         if member.address == state.me.address:
@@ -326,7 +329,8 @@
 def should_reconcile(state: MembershipState, view_hash: int, now: float) -> bool:
     """Return whether full views should be exchanged with the sender of a view hash.
 
-    This is the case after several mismatches, if the last exchange was long enough ago.
+    This is the case after several mismatches with the daemon's own view hash, if the last exchange
+    was long enough ago.
     """
     if view_hash == state.view_hash:
         state.mismatches = 0
@@ -349,7 +353,8 @@
 ) -> list[Member]:
     """Return the records to attach to a message.
 
-    A recipient that is suspected or believed dead gets its own record, so that it can refute it.
+    A recipient that is suspected or believed dead gets its own record, so that it can refute that
+    status.
     """
     chosen: list[Member] = [state.me] if include_self else []
     recipient_record = state.members_by_address.get(recipient)
--- a/hornbeamgw/core/node.py
+++ b/hornbeamgw/core/node.py
@@ -28,12 +28,14 @@
 from hornbeamgw.core.tally import Tally
 from hornbeamgw.core.versions import ArrivalPath, LearnResult, Origin, VersionState
 
+# Members chosen at random that update_own_record() notifies in a large fleet, besides the daemon's
+# data centre.
 OWN_UPDATE_TARGETS = 4
 # If there are at most this many other members, a change of the daemon's own record is sent to all
 # of them at once. In larger fleets this would use too much bandwidth between data centres.
 MAX_BROADCAST_MEMBERS = 24
-# A version seen in an envelope is pulled after one to two times this delay, so that a push can
-# arrive first.
+# A higher version seen in an envelope is pulled from its sender after one to two times this delay,
+# unless a push has delivered the version by then.
 PUSH_GRACE_S = 0.1
 # Maximum number of members that announce() notifies; gossip reaches the others.
 MAX_ANNOUNCE_TARGETS = 120
@@ -72,7 +74,7 @@
 
 
 class StartPull(NamedTuple):
-    """Effect: pull the versions that follow the known one from an address."""
+    """Effect: pull from an address the catalogue versions that follow this daemon's known one."""
 
     source: str
 
@@ -103,7 +105,7 @@
 
 
 class UnansweredPush(NamedTuple):
-    """Effect: report that the receiver of a push did not acknowledge it in time."""
+    """Effect: report that the member at an address did not acknowledge a push in time."""
 
     address: str
 
@@ -115,7 +117,7 @@
 
 
 class EraStarted(NamedTuple):
-    """Effect: report a new era: the platform's store has lost recently acknowledged writes."""
+    """Effect: report a new era: the store was restored and lost recently acknowledged writes."""
 
     era: int
 
@@ -194,7 +196,7 @@
 
 
 def note_era(node: Node, era: int) -> list[Effect]:
-    """Store a higher era; report it unless it is the first one received."""
+    """Store a store era if it is higher; report it unless it is the first one received."""
     known = node.era
     if known is not None and era <= known:
         return []
@@ -210,7 +212,8 @@
 def _send_own_record(node: Node, to: str) -> Send:
     """Return a message with only the node's own record.
 
-    It is sent to many members at once, so other gossip is omitted to limit the processing cost.
+    Other gossip is omitted to limit the processing cost, since the record is sent to many members
+    at once.
     """
     return Send(to, envelope_without_gossip(node, to, Have())._replace(gossip=[node.view.me]))
 
@@ -243,7 +246,7 @@
 def learn_version(
     node: Node, version: int, bodies: Mapping[str, Any], origin: Origin, moment: Moment
 ) -> tuple[bool, list[Effect]]:
-    """Process all items of a version from an external source; return as learn_deltas() does."""
+    """Process all items of a version from an external source; return what learn_deltas() does."""
     known = node.versions.catalogue
     if version <= known.version:
         return False, []
@@ -262,7 +265,8 @@
 def set_floor(node: Node, floor: int, why: str, moment: Moment) -> list[Effect]:
     """Set the floor, and apply the known catalogue unless its version is below the floor.
 
-    `why` states how the floor was determined.
+    The floor is the lowest version that a restarted daemon may apply. `why` states how the floor
+    was determined.
     """
     learned = versions.set_floor(node.versions, floor, moment.wall_time)
     return _record_learned(node, learned, Origin(ArrivalPath.SNAPSHOT, why))
@@ -313,7 +317,7 @@
 
 
 def _forward_known_version(node: Node, message: Push, moment: Moment) -> list[Effect]:
-    """Forward a push of the known version, unless its range was already covered."""
+    """Forward a push of the known version, unless this node has already pushed it to its range."""
     known = node.versions.catalogue.version
     requested_range = (message.version, message.scope, message.low, message.high)
     if message.version != known or requested_range in node.covered:
@@ -351,7 +355,7 @@
 def finish_pull(
     node: Node, source: str, known_before: int, moment: Moment, rng: random.Random
 ) -> list[Effect]:
-    """Handle the end of a pull: acknowledge it, and forward a push that was deferred for it."""
+    """Handle the end of a pull: acknowledge it, and forward a push that waited for its versions."""
     advanced = node.versions.catalogue.version > known_before
     spreading.finish_pull(node.pull_state, advanced, moment.now, rng)
     effects: list[Effect] = [_send(node, source, Have())] if advanced else []
@@ -459,7 +463,7 @@
 
 
 def leave(node: Node, moment: Moment, rng: random.Random) -> list[Effect]:
-    """Notify the data centre that this daemon has left, so that nothing is routed through it."""
+    """Notify other members that this daemon has left, so that they send it no more requests."""
     no_server = {"server_state": ServerState.NONE, "further_servers": ()}
     effects = update_own_record(node, moment, rng, status=Status.LEFT, **no_server)
     return effects + announce(node)
--- a/hornbeamgw/core/options.py
+++ b/hornbeamgw/core/options.py
@@ -47,7 +47,7 @@
 
 
 class ServerSection(TypedDict):
-    """Backend server on the VM of the daemon, as assumed until the server announces itself."""
+    """Values assumed for the backend server on the daemon's VM until it announces itself."""
 
     service: NotRequired[ShortText]
     connections: NotRequired[Count]
@@ -63,7 +63,7 @@
 
 
 class RolloutsSection(TypedDict):
-    """Traffic limit of a version during its rollout: a share of requests, plus a constant."""
+    """Traffic limit of a software version in a rollout: a share of requests, plus a constant."""
 
     share: NotRequired[NonNegativeFloat]
     slack: NotRequired[NonNegativeFloat]
@@ -103,8 +103,8 @@
     announcements: NotRequired[Address]
     metrics: NotRequired[Address]
     seeds: NotRequired[list[Address]]  # daemons through which this one joins the fleet
-    directory: NotRequired[bool]  # whether daemons find each other through rows of the platform
-    first_start: NotRequired[bool]  # the whole fleet starts for the first time, without state
+    directory: NotRequired[bool]  # whether daemons find each other through the platform's store
+    first_start: NotRequired[bool]  # whether the whole fleet has just been created
     bandwidth: NotRequired[NonNegativeFloat]  # Mbit/s, 0 if unknown
     source: NotRequired[ShortText]  # name of the adapter that provides catalogue versions
     plugins: NotRequired[PluginsSection]
--- a/hornbeamgw/core/pacing.py
+++ b/hornbeamgw/core/pacing.py
@@ -7,7 +7,8 @@
 
 from __future__ import annotations
 
-# Transmission time of one part, which limits the delay of small messages.
+# Time to send one part. A small message waits for the parts written before it, so short parts keep
+# its delay short.
 PART_DURATION_S = 0.01
 PART_MIN_BYTES = 4 * 1024
 # Size of a part on links that are fast or of unknown bandwidth.
@@ -17,7 +18,7 @@
 MAX_BACKLOG_S = 0.01
 # Ratio of the bandwidth used for bodies. The rest is left for small messages and packet headers.
 USABLE_BANDWIDTH_RATIO = 0.85
-# Parts of one body that may be in flight before the receiver grants more credit.
+# Parts of one body that may be in flight before the receiver grants more flow-control credit.
 WINDOW_PARTS = 8
 
 
@@ -36,7 +37,7 @@
 
 
 def part_bytes(state: LinkState) -> int:
-    """Return the size in bytes of one part of a body."""
+    """Return the size in bytes of one part of a body; the maximum if the bandwidth is unknown."""
     if state.rate <= 0:
         return PART_MAX_BYTES
     return min(PART_MAX_BYTES, max(PART_MIN_BYTES, round(state.rate * PART_DURATION_S)))
--- a/hornbeamgw/core/placement.py
+++ b/hornbeamgw/core/placement.py
@@ -23,15 +23,15 @@
 CROSS_DATA_CENTRE_RTT_S = 0.003
 # Cost of transferred bytes: 1 KB between data centres weighs as much as 1 ms of latency.
 CROSS_DATA_CENTRE_S_PER_BYTE = 1e-6
-# Added to the cost of a suspected member, which is selected only if no other server is expected to
-# answer within this time.
+# Seconds added to the expected completion on a suspected member, so that it is selected only if all
+# other servers are expected to answer later by at least this time.
 SUSPECT_PENALTY_S = 1.0
-# Smoothing factor of the failure probability, and the rate (1/s) at which it decays.
+# Smoothing factor of a server's failure probability, and the rate (1/s) at which it decays.
 OUTCOME_SMOOTHING_FACTOR = 0.15
 FAILURE_DECAY_PER_S = 0.25
-# Load reports older than this are ignored.
+# Age above which the load report of a server's daemon is ignored.
 REPORT_MAX_AGE_S = 1.0
-# Upper limit of the random time that is added to break ties.
+# Upper limit of the random time that is added to a server's expected completion to break ties.
 TIE_BREAK_S = 0.001
 # Weight of the newest measurement in the moving averages of a route's traits.
 TRAITS_SMOOTHING_FACTOR = 0.05
@@ -151,7 +151,7 @@
 
 @register_chooser("expected_finish")
 def choose(choice: Choice, rng: random.Random) -> Candidate | None:
-    """Return the untried server with the earliest expected completion, or None."""
+    """Return the untried server with the earliest expected completion, None if all were tried."""
     now = choice.now
     usable = usable_candidates(choice)
     if not usable:
--- a/hornbeamgw/core/quarantine.py
+++ b/hornbeamgw/core/quarantine.py
@@ -25,21 +25,22 @@
 )
 from hornbeamgw.core.fingerprint import UNKNOWN
 
-# Crash reports that name a request before it is quarantined. With fewer, the retries of one client
-# could be blamed for unrelated crashes.
+# Number of crash reports that must name a request before it is quarantined. With fewer, a request
+# that a client retries could be blamed for unrelated crashes that occurred while it was running.
 CRASHES_TO_QUARANTINE = 3
-# Crash reports that name a request before it may no longer run concurrently with another such
-# request, so that the next crash identifies the cause.
+# Number of crash reports from which a request is a crash suspect. Two suspects may not run
+# concurrently on a server, so that the next crash identifies the cause.
 CRASHES_TO_ISOLATE = 2
-# Time after which crash reports are dropped. A client is expected to retry within minutes.
+# Time after which crash reports are dropped. Clients are expected to retry within minutes, so a
+# request that crashes servers is named by enough reports within this time.
 CRASH_REPORT_RETENTION_S = 600.0
 MAX_CRASH_REPORTS = 256
-# Length of the first quarantine of a request. It doubles with each further crash, up to a maximum.
+# Length of a request's first quarantine. Each further crash doubles the length, up to a maximum.
 INITIAL_QUARANTINE_S = 300.0
 MAX_QUARANTINE_S = 3600.0
 MAX_QUARANTINED = 64
-# Time for which an answer is announced. Gossip reaches all daemons within seconds, and daemons that
-# join later do not need it.
+# Time for which a daemon announces that its server has answered a request. Gossip reaches all
+# daemons within seconds, and daemons that join later do not need the announcement.
 ANSWER_ANNOUNCED_S = 30.0
 # Maximum number of answered requests that are remembered for the current server process.
 MAX_ANSWERED = 2048
@@ -56,7 +57,10 @@
 
 
 class QuarantinePeriod(NamedTuple):
-    """End (s) and duration (s) of a quarantine, and whether it has expired."""
+    """End (s) and duration (s) of a quarantine, and whether the quarantine has expired.
+
+    An expired quarantine is kept for as long as it lasted: another crash meanwhile doubles it.
+    """
 
     until: float
     duration: float
@@ -64,7 +68,7 @@
 
 
 class AnnouncedFinding(NamedTuple):
-    """Finding of this daemon, its expiry time (s), and whether it must survive restarts."""
+    """Finding of this daemon, its expiry time (s), and whether it is also written to the store."""
 
     finding: Finding
     until: float
@@ -87,8 +91,8 @@
     def __init__(self, address: str, first_number: int) -> None:
         """Create an empty state; this daemon's findings are numbered from `first_number`.
 
-        It must exceed all numbers that the daemon used before a restart, since other daemons ignore
-        a finding whose address and number they have already received.
+        `first_number` must exceed all numbers that the daemon used before a restart, since other
+        daemons ignore a finding whose address and number they have already received.
         """
         self.address = address
         self.next_number = first_number
@@ -118,11 +122,12 @@
 
 
 def record_refusal(state: QuarantineState, fingerprint: int) -> None:
-    """Announce a quarantine for which this daemon refused a request, so that it can be cleared.
+    """Announce again a quarantine for which this daemon has refused a request.
 
-    A daemon whose server has answered the request clears the quarantine when it receives the
-    announcement. The daemons that first announced the quarantine may have left. At most
-    `MAX_FINDINGS_PER_KIND` quarantines are announced.
+    A daemon whose server has answered the request clears the quarantine on all daemons when it
+    receives the announcement. It may not have received an earlier one, since the daemons that first
+    announced the quarantine may have left. Nothing is announced if this daemon already announces
+    the quarantine, or `MAX_FINDINGS_PER_KIND` others.
     """
     announced = [t.finding for t in state.announced if t.finding.kind is FindingKind.QUARANTINED]
     if len(announced) < MAX_FINDINGS_PER_KIND and all(
@@ -142,7 +147,10 @@
 
 
 def record_answer(state: QuarantineState, fingerprint: int, now: float) -> QuarantineChanges:
-    """Record that the local backend server has answered a request."""
+    """Record that the local backend server has answered a request.
+
+    The answer clears the request if it is a crash suspect or quarantined.
+    """
     if fingerprint == UNKNOWN:
         return NO_CHANGES
     state.answered[fingerprint] = None
@@ -155,7 +163,7 @@
 
 
 def forget_run(state: QuarantineState) -> None:
-    """Discard the requests that the previous server process answered."""
+    """Forget which requests the previous process of the local backend server has answered."""
     state.answered.clear()
 
 
@@ -176,7 +184,10 @@
 def receive(
     state: QuarantineState, address: str, announced: Sequence[Finding], now: float
 ) -> QuarantineChanges:
-    """Process the findings in a member record; it may be this daemon's from before a restart."""
+    """Process the findings in the member record of the daemon at an address.
+
+    The record may be this daemon's own from before a restart.
+    """
     new = [finding for finding in announced if _is_new(state, (address, finding.number))]
     quarantined: dict[int, Sequence[str]] = {}
     cleared: list[int] = []
@@ -191,7 +202,8 @@
             reported += named
         else:
             quarantined |= _accept_quarantined(state, address, named, now)
-    # A daemon that quarantines a request answered here has not received the answer: announce it.
+    # If the local server has answered a request that another daemon quarantines, that daemon does
+    # not know of the answer: announce the answer.
     refused = [
         f
         for announced in new
@@ -314,8 +326,8 @@
 def _end_period(state: QuarantineState, fingerprint: int, period: QuarantinePeriod) -> None:
     """Drop the crash reports that a quarantine explains, so that only later crashes count.
 
-    Whole reports are dropped: if only the cause was removed from them, they would count against the
-    other requests that they name.
+    Whole reports are dropped: if only the cause was removed from a report, the report would count
+    against the other requests that it names.
     """
     for finding_id in list(state.report_ids_by_fingerprint.get(fingerprint, ())):
         _drop_report(state, finding_id)
@@ -339,7 +351,8 @@
     new = [f for f in fingerprints if f not in state.periods_by_fingerprint]
     for fingerprint in new:
         _quarantine(state, fingerprint, now)
-        # Announce quarantines from before this daemon's restart again, to keep them stored.
+        # This daemon announced the quarantine before a restart: announce it again, so that it stays
+        # in the store.
         if address == state.address:
             _announce_quarantined(state, fingerprint)
     return dict.fromkeys(new, (address,))
@@ -357,7 +370,7 @@
 
 
 def _was_recently_cleared(state: QuarantineState, fingerprint: int, now: float) -> bool:
-    """Return whether a finding against a request may predate an answer to it."""
+    """Return whether a request was cleared recently, so findings may predate its answer."""
     return now < state.cleared_until_by_fingerprint.get(fingerprint, 0.0)
 
 
@@ -393,7 +406,10 @@
 def _quarantine_causes(
     state: QuarantineState, reported: Iterable[int], now: float
 ) -> dict[int, Sequence[str]]:
-    """Quarantine requests identified as a cause; return them with the reporting daemons."""
+    """Quarantine requests identified as a cause; return them with the reporting daemons.
+
+    A request whose quarantine has expired recently is quarantined again by a single report.
+    """
     repeated = [
         f for f in reported if f in state.periods_by_fingerprint and not remaining(state, f, now)
     ]
--- a/hornbeamgw/core/queueing.py
+++ b/hornbeamgw/core/queueing.py
@@ -1,5 +1,7 @@
 """Queueing: policies that decide which requests may wait for a slot, and in which order.
 
+A backend server runs at most one request per slot.
+
 The *deadline* policy queues a request if it can still meet its deadline, earliest deadline first.
 
 The *objective* policy aims at answers within the latency objective. A request is queued only if
@@ -32,27 +34,32 @@
 )
 from hornbeamgw.core.verdict import Reason
 
-# Service times on a cold server, relative to a warm one.
+# Expected service time on a server that has just started, relative to a warm server. Used for
+# routes without a measurement.
 COLD_SERVICE_TIME_FACTOR = 2.0
 # Ratio of the latency objective that is reserved for the network and for estimation errors.
 OBJECTIVE_MARGIN_RATIO = 0.1
-# A request can meet its deadline if it is expected to end within this ratio of the time left.
+# A request counts as able to meet its deadline if it is expected to end within this ratio of the
+# time that is left until the deadline.
 DEADLINE_USE_RATIO = 0.85
-# A request waits at most this ratio of the time that shorter requests can wait.
+# A request is queued only if its expected wait is at most this ratio of the time that requests of
+# shorter routes can wait within their latency objective.
 MAX_SLACK_USE_RATIO = 0.5
-# A route has shorter requests if its service time is below this ratio of the request's, and if it
-# was seen within this time.
+# A route counts as shorter than a request if its service time is below `SHORTER_WORK_RATIO` of the
+# request's, and if the route's last request arrived less than `SLACK_RETENTION_S` ago.
 SHORTER_WORK_RATIO = 0.5
 SLACK_RETENTION_S = 2.0
-# Longest wait that is aimed at, as a multiple of the service time.
+# Longest wait that is aimed at for a request, as a multiple of its service time.
 TARGET_WAIT_FACTOR = 3.0
-# The last free slot is kept for short, urgent requests only on servers with at least this number of
-# slots, and only if these requests use at least this number of slots on average. The average decays
-# exponentially with this time constant.
+# The last free slot is kept for short, urgent requests only on servers with at least
+# `MIN_SLOTS_TO_KEEP_LAST` slots, and only if these requests use at least
+# `MIN_SLOT_USE_TO_KEEP_LAST` slots on average. The average decays exponentially with the time
+# constant `SLOT_USE_TIME_CONSTANT_S`.
 MIN_SLOTS_TO_KEEP_LAST = 4
 MIN_SLOT_USE_TO_KEEP_LAST = 0.25
 SLOT_USE_TIME_CONSTANT_S = 2.0
-# Slots that must stay free when a request starts that will miss its objective and is not a retry.
+# A request that will miss its latency objective and is not a retry starts only if at least this
+# number of slots stays free.
 MIN_SPARE_SLOTS_FOR_LATE = 1
 
 
@@ -60,7 +67,7 @@
 
 
 def _deadline_wait(state: AdmissionState, request: Request, now: float) -> float:
-    """Return the expected wait in seconds behind the requests with an earlier deadline."""
+    """Return the expected wait for a slot in seconds, behind requests with an earlier deadline."""
     ahead = sum(queued.deadline <= request.deadline for queued in state.queue)
     return (ahead + 1) * state.mean_service_time / max(1, state.slots)
 
@@ -105,7 +112,10 @@
 
 
 def _latest_end(request: Request) -> float:
-    """Return the time (s) by which a request must end to be answered within its objective."""
+    """Return the time (s) by which a request must end to be answered within its objective.
+
+    A margin and the time to transfer the answer are subtracted.
+    """
     return request.objective - OBJECTIVE_MARGIN_RATIO * request.latency_objective - request.transfer
 
 
@@ -140,10 +150,10 @@
 
 
 def _max_wait(state: AdmissionState, request: Request, now: float) -> float:
-    """Return the maximum wait of a request in seconds, so that shorter ones still find a slot.
+    """Return the longest expected wait in seconds with which a request may still be queued.
 
-    Without this limit, long requests with a generous objective fill the queue so far ahead that
-    several short requests are refused for each of them.
+    Without a limit on the wait, long requests with a generous objective fill the queue so far ahead
+    that several short requests are refused for each of them.
     """
     service_time = expected_service_time(state, request, now)
     slacks = [
@@ -163,7 +173,7 @@
 
 
 def _objective_keeps_last(state: AdmissionState, request: Request, now: float) -> bool:
-    """Return whether the last free slot is kept for shorter, more urgent requests."""
+    """Return whether the last free slot is kept for shorter, more urgent requests than this one."""
     if state.slots < MIN_SLOTS_TO_KEEP_LAST:
         return False
     service_time = expected_service_time(state, request, now)
@@ -252,7 +262,10 @@
 
 
 def _objective_retry_after(state: AdmissionState, request: Request, now: float) -> float:
-    """Return the delay in seconds after which the request could start if no other arrives."""
+    """Return the delay in seconds after which a refused request may be sent again.
+
+    It is then expected to meet its latency objective if no other request arrives before it.
+    """
     ordered = _by_target_start(state, [*state.queue, request], now)
     service_time = expected_service_time(state, request, now)
     end = _expected_ends(state, ordered, now)[ordered.index(request)]
@@ -264,7 +277,7 @@
 
 
 def _objective_wait(state: AdmissionState, request: Request, now: float) -> float:
-    """Return the expected wait of a request in seconds, given the queued requests."""
+    """Return the expected wait for a slot in seconds of a request that would join the queue now."""
     ordered = _by_target_start(state, [*state.queue, request], now)
     end = _expected_ends(state, ordered, now)[ordered.index(request)]
     return max(0.0, end - expected_service_time(state, request, now) - now)
@@ -291,7 +304,7 @@
 
 
 def expected_wait(state: AdmissionState, now: float) -> float:
-    """Return the expected wait for a slot in seconds, for a request that arrives now."""
+    """Return the expected wait for a slot in seconds of a request that joins the queue last."""
     if len(state.running_by_attempt) + len(state.queue) < state.slots:
         return 0.0
     durations = [expected_service_time(state, request, now) for request in state.queue]
