--- a/hornbeamgw/core/registration.py
+++ b/hornbeamgw/core/registration.py
@@ -17,16 +17,17 @@
 from hornbeamgw.core.membership import ServerState
 
 MAX_INSTANCES = 256
-# A heartbeat of a server that was started before the current one is late, unless the current server
-# has sent no heartbeat for this time (four intervals). In that case the clock is assumed to have
-# been set back between the two starts.
+# Time since the current server's last heartbeat (four heartbeat intervals) after which a server
+# with an earlier start time may replace it: the clock is then assumed to have been set back between
+# the two starts. Before that, heartbeats with an earlier start time are rejected as late.
 LATE_HEARTBEAT_WINDOW_S = 6.0
 
 
 class Heartbeat(NamedTuple):
     """Heartbeat of a backend server; `warmup_s` is the remaining warm-up time in seconds.
 
-    `started_ms` is the start of its run in Unix milliseconds, or 0 if it isn't given.
+    `started_ms` is the start of the server process in Unix milliseconds, or 0 if it isn't given;
+    `software` is the server's software version.
     """
 
     instance: str
@@ -41,7 +42,10 @@
 
 
 class Departure(NamedTuple):
-    """Notice that a run of a backend server has ended; `started_ms` is 0 for the latest run."""
+    """Notice that a run (process) of a backend server has ended.
+
+    `started_ms` is the start of the run in Unix milliseconds, or 0 for the latest known run.
+    """
 
     instance: str
     started_ms: int = 0
@@ -74,12 +78,12 @@
 
 
 def is_renewal(before: Announcement, after: Announcement) -> bool:
-    """Return whether only the expiry or the warm-up time has changed."""
+    """Return whether two announcements differ at most in expiry and warm-up time."""
     return before == after._replace(expires_at=before.expires_at, warm_at=before.warm_at)
 
 
 class _KnownRun(NamedTuple):
-    """Latest known run of an instance."""
+    """Latest known run of an instance, with the sequence number of its last heartbeat."""
 
     started_ms: int
     sequence: int
@@ -113,7 +117,7 @@
 
 
 def _latest_run(state: RegistrationState, instance: str, started_ms: int) -> _KnownRun:
-    """Return what is known of a run, or of a later run of the same instance."""
+    """Return the known run of an instance, or a new record if `started_ms` is later."""
     known = state.known_runs_by_instance.get(instance, UNKNOWN_RUN)
     return known if started_ms <= known.started_ms else UNKNOWN_RUN._replace(started_ms=started_ms)
 
@@ -126,7 +130,7 @@
 
 
 def receive(state: RegistrationState, heartbeat: Heartbeat, now: float) -> bool:
-    """Process a heartbeat; return False if it is late."""
+    """Register the sender of a heartbeat, or return False if the heartbeat is late."""
     known = _latest_run(state, heartbeat.instance, heartbeat.started_ms)
     if _is_late(state, heartbeat, known, now):
         return False
@@ -146,7 +150,7 @@
 
 
 def adopt(state: RegistrationState, heartbeat: Heartbeat, now: float) -> None:
-    """Register a server as the current one until the next heartbeat arrives."""
+    """Register a server that was already running when this daemon started."""
     state.current = heartbeat
     state.received_at = now
     state.latest_started_ms = heartbeat.started_ms
@@ -155,7 +159,7 @@
 def retire(state: RegistrationState, instance: str, started_ms: int = 0) -> bool:
     """Record that a run of an instance has ended, and return whether it was the registered run.
 
-    If `started_ms` is 0, this applies to the latest known run of the instance.
+    `started_ms` is the start of the run, or 0 for the latest known run of the instance.
     """
     known = state.known_runs_by_instance.get(instance, UNKNOWN_RUN)
     if 0 < started_ms < known.started_ms:
--- a/hornbeamgw/core/rendezvous.py
+++ b/hornbeamgw/core/rendezvous.py
@@ -1,4 +1,7 @@
-"""Rendezvous hashing: select members for a role without coordination."""
+"""Rendezvous hashing: select members for a role without coordination.
+
+Daemons that know the same members select the same ones.
+"""
 
 from __future__ import annotations
 
@@ -8,14 +11,14 @@
 from hornbeamgw.core.membership import Member
 
 MIN_READERS_PER_DATA_CENTRE = 2
-# A reader polls the platform for its data centre and transfers whole versions, so members with less
-# than this ratio of the widest link's bandwidth are not selected as readers.
+# Members with less than this ratio of the widest bandwidth in their data centre are not selected as
+# readers, since a reader polls the platform for its data centre and transfers whole versions.
 READER_MIN_BANDWIDTH_RATIO = 0.5
-# Minimum number of readers in a fleet with few data centres. With fewer, the failure of half of the
-# fleet could leave no reader.
+# Minimum number of readers in a fleet with few data centres. If a random half of the fleet fails,
+# the probability that all 8 readers are among the failed members is below 0.5%.
 MIN_TOTAL_READERS = 8
-# Readers that push each version; the role rotates with the version. Another reader pushes a version
-# only if it receives no push of it.
+# Number of readers that push a version if each poll returns the full catalogue; they are selected
+# anew for each version. Any other reader then pushes it only if no push of it has arrived there.
 PUSHERS_PER_VERSION = 2
 
 
--- a/hornbeamgw/core/retry_budget.py
+++ b/hornbeamgw/core/retry_budget.py
@@ -2,8 +2,9 @@
 
 The limit for a service is a ratio of its requests in a time window plus a fixed slack. It is
 enforced without coordination: each daemon spends only what its own requests earn, and an equal
-share of the slack. A retried request repeats its nested calls as well, so the daemon next to a
-server charges nested requests with the ratio of retries among the requests running on that server.
+share of the slack. A retried request repeats its nested calls as well. Therefore the daemon next to
+a server charges each nested request to the budget as a fraction of a retry: the ratio of retries
+among the requests that run on that server.
 
 If a service refuses many requests at once, retries of less urgent requests could use up the budget
 that more urgent ones need. While more urgent requests are being received, less urgent ones may only
@@ -18,7 +19,7 @@
 # Ratio of the budget that may be spent. The rest is a margin for requests in flight and for windows
 # that are not aligned across daemons.
 SPENDABLE_RATIO = 0.9
-# Ratio of the spendable budget that is available to less urgent requests.
+# Ratio of the spendable budget that less urgent requests may use while more urgent ones arrive.
 LESS_URGENT_RATIO = 0.5
 
 
@@ -41,7 +42,10 @@
 
 
 class _Window:
-    """Times (s) of the requests and retries to one service in the current window."""
+    """Times (s) of the requests and retries to one service in the current window.
+
+    `nested_retries` has the time of each nested request and the probability that a retry caused it.
+    """
 
     def __init__(self) -> None:
         self.requests: deque[float] = deque()
--- a/hornbeamgw/core/retrying.py
+++ b/hornbeamgw/core/retrying.py
@@ -8,7 +8,7 @@
 from hornbeamgw.core.verdict import Failure, Reason, Verdict
 
 DEFAULT_RETRY_BUDGET = 2
-# Maximum delay of the first and of any retry.
+# Maximum delay of the first retry, which doubles with each attempt up to BACKOFF_MAX_S.
 BACKOFF_BASE_S = 0.005
 BACKOFF_MAX_S = 0.1
 # Failures that are never retried.
@@ -31,7 +31,7 @@
     remaining: float,
     rng: random.Random,
 ) -> Retry | None:
-    """Return the next retry, or None if the call ends with this failure.
+    """Return the next retry after a failed attempt, or None if the call ends with its failure.
 
     Parameters
     ----------
@@ -58,9 +58,9 @@
 
 
 def combine(earlier: Verdict, failure: Failure) -> Failure:
-    """Return a failure that includes the verdict of earlier attempts.
+    """Return the failure of a call, given its last failure and the verdict of earlier attempts.
 
-    If an earlier attempt may have run, so may the call as a whole.
+    If an earlier attempt may have run, the result states that the request may have run.
     """
     if earlier is Verdict.MAY_HAVE_RUN:
         return failure._replace(verdict=Verdict.MAY_HAVE_RUN)
--- a/hornbeamgw/core/rollout.py
+++ b/hornbeamgw/core/rollout.py
@@ -1,19 +1,21 @@
 """Rollout leader: moves a service's requests to servers of a new version on an operator's order.
 
 A rollout starts with a canary phase, in which the new version gets a small share of the requests.
-Shortly before the order is due, all requests are moved, the longest first, so that few are still
-running on the old servers when these are stopped. The full move is kept short, since it may be the
-first time that the version runs under full load. If the version answers worse than the old one, the
-rollout is rolled back at once.
+Shortly before the decision to accept the version, all requests are moved to it, the longest first,
+so that few are still running on the old servers when these are stopped. The full move is kept
+short, since it may be the first time that the version runs under full load. If the version answers
+worse than the old one, the rollout is rolled back at once.
 
 Old servers are stopped without draining, so they are drained before the order is completed.
 Requests that are not idempotent are withheld from the old servers shortly before the decision, as
-far as the exposure bound allows. Once the version is accepted, all requests go to it. The order is
-completed when no non-idempotent request is left on the old servers, or when its deadline is near.
-
-Several daemons lead a rollout at the same time, each delayed by a lag that grows with its rank. A
-leader adopts the steps that other leaders have published, so a leader that fails or is partitioned
-is replaced by the next one. Only a rollback because of bad answers is not delayed by the lag.
+far as the exposure bound allows (the limit on requests to a version that is not accepted yet). Once
+the version is accepted, all requests go to it. The order is completed when no non-idempotent
+request is left on the old servers, or when its deadline is near.
+
+Several daemons lead a rollout at the same time. They are ranked, and each further one takes its
+steps with a longer lag. A leader adopts the steps that other leaders have published, so a leader
+that fails or is partitioned is replaced by the next one. Only a rollback because of bad answers is
+not delayed by the lag.
 """
 
 from __future__ import annotations
@@ -39,10 +41,10 @@
 from hornbeamgw.core.standing import MOVE_NONE_MS, Closing, Phase, RolloutStatus, supersedes
 
 LEADER_COUNT = 2
-# Lag of each further leader behind the one before it.
+# Delay of the steps of each further leader behind those of the leader before it.
 LEADER_LAG_S = 0.4
-# Time between the decision and the order's deadline, and its maximum as a ratio of the order's
-# duration.
+# Time between the decision on the new version and the order's deadline, and the maximum of this
+# time as a ratio of the order's duration.
 DECISION_MARGIN_S = 1.0
 DECISION_MARGIN_RATIO = 0.15
 # (lead time in s, service time in ms): requests with at least this expected service time are moved
@@ -50,13 +52,14 @@
 # stopped.
 MOVE_SCHEDULE = ((1.1, 1000), (0.5, 500), (0.2, 200), (0.0, 0))
 # Time before the decision in which requests that are not idempotent are withheld from the old
-# servers, and its maximum as a ratio of the order's duration.
+# servers, and the maximum of this time as a ratio of the order's duration.
 CLOSE_LEAD_S = 1.5
 CLOSE_LEAD_RATIO = 0.15
-# An order is completed when this ratio of the decision margin is left, even if non-idempotent
-# requests still run on the old servers.
+# An order is completed when this ratio of the time between decision and deadline is left, even if
+# non-idempotent requests still run on the old servers.
 COMPLETION_MARGIN_RATIO = 0.3
-# Time allowed for draining if the deadline passed while the platform was unreachable.
+# Time allowed for draining the old servers if the version is accepted only after the deadline, for
+# example because the platform was unreachable.
 LATE_DRAIN_S = 1.7
 # Limits of the full move, the time before the decision in which all requests go to the new version.
 # The number of requests that the exposure bound still allows determines the actual time.
@@ -76,7 +79,8 @@
 class Order(NamedTuple):
     """Operator's order to roll out the software version `target` of a service.
 
-    The order must be decided within its duration (s). Later orders have higher numbers.
+    The version must be accepted or rolled back within the order's duration (s). Later orders have
+    higher numbers.
     """
 
     service: str
@@ -88,7 +92,7 @@
 class FleetView(NamedTuple):
     """Fleet state from which the next step is determined.
 
-    Servers are given by their keys; `slots` is the number of slots of a server of the new version.
+    Servers are given by their keys; `slots` is the largest number of slots of a new server.
     """
 
     new_servers: Collection[str]
@@ -124,12 +128,15 @@
 
     @property
     def deadline(self) -> float:
-        """Time by which the order must be decided, in seconds of the event loop's clock."""
+        """Time by which the version is accepted or rolled back, by the event loop's clock (s)."""
         return self.received_at + self.order.duration
 
 
 def full_move_seconds(state: RolloutState, at: float) -> float:
-    """Return the length in seconds of the full move that the exposure bound still allows."""
+    """Return for how many seconds before the decision all requests go to the new version.
+
+    The length is as large as the exposure bound still allows, within fixed limits.
+    """
     allowed, canary_allowed = _allowed_requests(
         state, max(1.0, at - state.received_at), _request_rate(state, at)
     )
@@ -162,7 +169,7 @@
 
 
 def apply(state: RolloutState, status: RolloutStatus, now: float) -> None:
-    """Set the status that this leader publishes."""
+    """Adopt a status that this leader has determined and publishes."""
     state.status = status
     state.last_step_at = now
 
@@ -180,7 +187,7 @@
 
 
 def next_step(state: RolloutState, fleet: FleetView, now: float) -> Step | None:
-    """Return the next step if one is due, or None."""
+    """Return the next step of the rollout if one is due, or None."""
     if state.status.is_final:
         return None
     degradation = evidence.measure_degradation(state.evidence, fleet.new_servers, now)
@@ -230,7 +237,10 @@
 
 
 def _canary_period_ms(state: RolloutState, fleet: FleetView, at: float) -> int:
-    """Return the length in ms of a canary period, long enough for a burst that fills the slots."""
+    """Return the length in ms of a canary period.
+
+    Within fixed limits, it is long enough for BURST_REQUESTS_PER_SLOT requests per server slot.
+    """
     if not state.evidence.old.answers:
         return round(MIN_CANARY_PERIOD_S * 1000)
     rate = _request_rate(state, at)
@@ -241,7 +251,10 @@
 
 
 def _while_platform_unreachable(state: RolloutState, at: float) -> Step | None:
-    """Postpone the decision and return to the canary phase: no decision can be stored now."""
+    """Postpone the decision and return to the canary phase.
+
+    While the platform is unreachable, no decision can be stored.
+    """
     soonest = at + MIN_FULL_MOVE_S
     usual = at + full_move_seconds(state, at) + MOVE_SCHEDULE[0][0]
     latest = max(soonest, min(usual, state.deadline - DOUBT_GRACE_S / 2))
@@ -273,7 +286,7 @@
 
 
 def _closing_at(state: RolloutState, at: float) -> Closing:
-    """Return which requests the old servers still receive shortly before the decision."""
+    """Return which requests the old servers still receive at a time before the decision."""
     ahead = min(CLOSE_LEAD_S, CLOSE_LEAD_RATIO * state.order.duration)
     return Closing.IDEMPOTENT if at >= state.decision_due_at - ahead else Closing.OPEN
 
@@ -295,7 +308,7 @@
 
 
 def _step_from_closed(state: RolloutState, fleet: FleetView, at: float) -> Step | None:
-    """Complete the order when the old servers may be stopped."""
+    """Return the step that completes the order, or None if old servers must still drain."""
     if all(_is_drained(state, server) for server in fleet.old_servers):
         return _make_step(state, Phase.DONE, "the servers of before are drained")
     left = COMPLETION_MARGIN_RATIO * _decision_margin(state.order.duration)
@@ -307,7 +320,10 @@
 
 
 def _is_drained(state: RolloutState, server: str) -> bool:
-    """Return whether a server reported for this step that no non-idempotent request runs there."""
+    """Return whether a server reported for the current step that it runs no unsafe request.
+
+    Requests that are not idempotent are unsafe to interrupt.
+    """
     tally = state.evidence.tallies_by_server.get(server)
     if tally is None or tally.unsafe:
         return False
@@ -315,7 +331,10 @@
 
 
 def _roll_back_in_doubt(state: RolloutState, at: float) -> Step | None:
-    """Roll back after a grace period in which the evidence may still improve."""
+    """Return the step that rolls back, or None in the grace period before it.
+
+    The evidence may still improve in the grace period.
+    """
     if at < min(state.decision_due_at + DOUBT_GRACE_S, state.deadline - DOUBT_GRACE_S / 2):
         return None
     return _make_step(state, Phase.BACK, "answers seem to be worse")
--- a/hornbeamgw/core/sampling.py
+++ b/hornbeamgw/core/sampling.py
@@ -16,8 +16,8 @@
 
 # For services with at most this many servers, load reports in answers are recent enough.
 QUERY_ABOVE_SERVERS = 8
-# Numbers of servers queried in each round: the fastest ones, and random ones so that slower servers
-# are also used when the fast ones are full.
+# Numbers of servers queried in each round, besides this daemon's own: the fastest ones, and random
+# ones, so that slower servers are also used when the fast ones are full.
 QUERIED_FASTEST = 1
 QUERIED_AT_RANDOM = 1
 QUERIED_REMOTE_AT_RANDOM = 1
@@ -73,7 +73,7 @@
 
 
 def best(choice: Choice, accepting: Sequence[Candidate]) -> Candidate | None:
-    """Return the server with the smallest expected loss among those that accept the request."""
+    """Return the accepting server with the smallest expected loss (`crossing.expected_loss`)."""
     return min(
         accepting, key=lambda candidate: crossing.expected_loss(choice, candidate), default=None
     )
--- a/hornbeamgw/core/service_times.py
+++ b/hornbeamgw/core/service_times.py
@@ -10,7 +10,7 @@
 
 # Weight of the newest measurement in the moving averages.
 SMOOTHING_FACTOR = 0.08
-# Initial estimate relative to the latency objective.
+# Estimate before the first measurement, relative to the latency objective.
 INITIAL_TIME_RATIO = 0.3
 # Expected remaining time of a request that has exceeded its estimate, relative to its age. Service
 # times are heavy-tailed, so requests that already took long are expected to take longer still.
--- a/hornbeamgw/core/slots.py
+++ b/hornbeamgw/core/slots.py
@@ -26,7 +26,7 @@
 
 
 class Request(NamedTuple):
-    """Properties of an attempt that admission uses.
+    """Properties of one attempt at a request, as used by admission.
 
     Attributes
     ----------
@@ -57,7 +57,10 @@
 
 
 class AttemptStatus(enum.StrEnum):
-    """State of an attempt that reached admission."""
+    """State of an attempt at a request, as recorded by admission.
+
+    An attempt that is FENCED was reported as not run, and is refused if it arrives later.
+    """
 
     REFUSED = "refused"
     RUNNING = "running"
@@ -91,7 +94,7 @@
 
 
 class Outlook(NamedTuple):
-    """Expected decision on a request.
+    """Forecast of the admission decision on a request.
 
     `would_admit` is whether the request would be admitted or queued, and `wait` its expected wait
     in seconds. If it would be refused, `retry_after_ms` is the delay before a retry.
@@ -120,7 +123,7 @@
     wait : callable
         Return the expected wait of a queued request in seconds.
     keeps_last_slot : callable
-        Return whether the last free slot is kept for more urgent requests.
+        Return whether the last free slot is kept for requests that are more urgent than this one.
     """
 
     may_start: Callable[[AdmissionState, Request, float], bool]
@@ -145,7 +148,7 @@
 class RouteSlack(NamedTuple):
     """How long requests of a route can wait for a slot, and their expected service time.
 
-    Both are in seconds, as of the last arrival at the time `seen_at` (s).
+    Both are in seconds and were determined when the route's last request arrived, at `seen_at` (s).
     """
 
     slack: float
@@ -167,13 +170,13 @@
     Attributes
     ----------
     reserved_by_entry : mapping
-        Number of slots reserved for requests of each catalogue entry.
+        Number of slots reserved for each catalogue entry (an owner's traffic class and its limits).
     mean_service_time : float
         Moving average of the service time over all routes, in seconds.
     service_time_estimates : ServiceTimes
         Estimates of the service time for each route.
     slacks_by_route, slot_use_by_route : dict
-        Recently seen routes, for queue policies that protect short requests.
+        Slack and slot use of recently seen routes, for queue policies that protect short requests.
     warm_at : float
         Time (s) at which the warm-up of the server ends.
     """
--- a/hornbeamgw/core/snapshot.py
+++ b/hornbeamgw/core/snapshot.py
@@ -25,7 +25,11 @@
 
 
 class Limits(NamedTuple):
-    """Admission limits of an entry at one backend server."""
+    """Admission limits of a catalogue entry at one backend server.
+
+    `slots` is the maximum number of running requests, `reserved` the number of slots that are kept
+    for the entry, and `queue` the maximum number of waiting requests.
+    """
 
     slots: int
     reserved: int
@@ -33,7 +37,7 @@
 
 
 class Entry(NamedTuple):
-    """Entry: an owner, a traffic class and admission limits."""
+    """Catalogue entry: an owner's traffic class and its admission limits; each route has one."""
 
     name: str
     owner: str
@@ -49,7 +53,7 @@
 
 
 class Route(NamedTuple):
-    """Route with its destinations and its entry resolved."""
+    """Route of the catalogue, with its destinations and its entry as objects."""
 
     name: str
     host: str
@@ -95,9 +99,10 @@
 
 
 def _entries(items: Items, base_items: Items, base: Snapshot) -> dict[str, Entry]:
-    """Return the entries by name.
+    """Return the catalogue entries by name.
 
-    Unchanged entries are the objects of the base snapshot, so that its routes can be reused.
+    Unchanged entries are the same objects as in the base snapshot, so that its routes, which refer
+    to them, can be reused.
     """
     entries: dict[str, Entry] = {}
     for key, item in items.items():
@@ -160,7 +165,7 @@
 
 
 def _changed_route_keys(items: Items, base_items: Items, changed: list[str]) -> list[str]:
-    """Return the keys of the routes to rebuild: changed routes, and those of changed entries."""
+    """Return the keys of the routes to rebuild: those that changed or whose entry changed."""
     entries = {key.partition("/")[2] for key in changed if key.startswith("entry/")}
     routes = {key for key in changed if key.startswith("route/")}
     if any(f"entry/{name}" in base_items for name in entries):
@@ -197,8 +202,8 @@
 ) -> Result[Snapshot, list[Problem]]:
     """Build the snapshot of a version, or return the problems that make it invalid.
 
-    `base` is a snapshot that was built from `base_items`. Unchanged objects are reused from it, so
-    that the cost depends on the number of changed items.
+    `base` is an earlier snapshot, which was built from `base_items`. Its unchanged objects are
+    reused, which avoids rebuilding all routes when few items have changed.
     """
     problems = validate(items, f"version {version}", base_items)
     if problems:
--- a/hornbeamgw/core/split.py
+++ b/hornbeamgw/core/split.py
@@ -2,7 +2,8 @@
 
 Each daemon applies smooth weighted round robin, without coordination with other daemons. The number
 of requests that a service receives differs from its weighted share by at most one. Random initial
-credits prevent all daemons from selecting the same service at the same time.
+credits prevent all daemons from selecting the same service at the same time. A service's credit
+grows by its share with each request of the route, and falls by 1 when the service is selected.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class SplitState:
-    """Credit of each service, by route; the service with the highest credit is selected next."""
+    """Credit of each service, by route; the service with the highest credit is selected."""
 
     def __init__(self) -> None:
         """Start without routes."""
--- a/hornbeamgw/core/spreading.py
+++ b/hornbeamgw/core/spreading.py
@@ -4,7 +4,8 @@
 with a bounded fan-out within the data centre. Each push carries the address range that its
 receiver must cover, and a receiver that does not acknowledge is replaced by another one. As a
 fallback, every control message carries the sender's version, and a daemon that receives a higher
-version than its own pulls it. So do members that a push misses because views differ.
+version than its own pulls it from the sender. This also reaches members that a push missed because
+a sender's member list lacked them.
 """
 
 from __future__ import annotations
@@ -36,10 +37,10 @@
 
 
 class Push(NamedTuple):
-    """A catalogue version that the receiver applies and forwards within a scope and range.
+    """A catalogue version that the receiver applies, and forwards within a scope and address range.
 
-    The delta is compressed, and empty if it is not stored or too long for a datagram; `parent` is
-    the version that it applies to.
+    `delta` is the compressed difference from the version `parent`. It is empty if it is not stored
+    or too long for a datagram; the receiver then pulls the version.
     """
 
     version: int
@@ -51,11 +52,11 @@
 
 
 class Have(NamedTuple):
-    """An acknowledgement: the sender has the version given in the envelope."""
+    """Acknowledgement that the sender has the version given in the message envelope."""
 
 
 class Target(NamedTuple):
-    """The receiver of a push, and the scope and address range (low <= address < high)."""
+    """Receiver of a push, and the scope and range (low <= address < high) that it must cover."""
 
     address: str
     scope: Scope
@@ -159,7 +160,7 @@
 def poll(
     me: Member, members: Sequence[Member], version: int, scope: Scope, low: str, high: str
 ) -> list[Target]:
-    """Return no push targets, since every daemon polls the platform; a baseline."""
+    """Return no push targets, since every daemon polls; a baseline for comparison."""
     return []
 
 
@@ -176,7 +177,7 @@
 
 
 class PullState:
-    """State of the pull in progress, if any, and the earliest time of the next one."""
+    """State of the pull in progress, if any, and the earliest time of the next pull."""
 
     def __init__(self) -> None:
         """Create a state without a pull in progress."""
@@ -189,7 +190,7 @@
 
 
 def start_pull(state: PullState, known: int, version: int, sender: str, now: float) -> str | None:
-    """Return the sender if a pull from it starts now, or None.
+    """Start a pull from the sender of a higher version if possible; return the sender, or None.
 
     `known` is the version that this daemon has, and `version` that of the sender.
     """
--- a/hornbeamgw/core/standing.py
+++ b/hornbeamgw/core/standing.py
@@ -32,12 +32,13 @@
     # Idempotent requests only. Others go to the new version, or wait if that would exceed the limit
     # on requests to a version that has not been accepted yet (`exposure.ExposureBound`).
     IDEMPOTENT = 1
-    # Only retries of idempotent requests, since the new version was accepted; running ones finish.
+    # Only retries of idempotent requests. The new version was accepted, so all other requests go to
+    # it. Requests that already run on old servers finish there.
     CLOSED = 2
 
 
 class RolloutStatus(NamedTuple):
-    """Status of order `number`, which rolls out the version `target` of a service.
+    """Status of the rollout order `number`, which introduces the version `target` of a service.
 
     `step` increases with each change of the status. In the MOVING phase, `length_ms` is the
     expected service time at or above which requests are moved to the new version. In the TRIAL
@@ -65,5 +66,5 @@
 
 
 def supersedes(received: RolloutStatus, known: RolloutStatus | None) -> bool:
-    """Return whether a received status replaces the known one, if any, for the same version."""
+    """Return whether a received status of a version replaces its known status, if any."""
     return known is None or _rank(received) > _rank(known)
--- a/hornbeamgw/core/stopping.py
+++ b/hornbeamgw/core/stopping.py
@@ -1,6 +1,6 @@
 """Stopping: which requests a daemon still accepts between the stop signal and its exit.
 
-The sender of the signal, such as a process supervisor, kills the process after a grace period.
+The sender of the signal, such as a process supervisor, kills the daemon after a grace period.
 Until then, callers move to other daemons. Requests that are accepted in the meantime must be
 answered before the process exits.
 """
@@ -9,20 +9,23 @@
 
 from typing import NamedTuple
 
-# Reserved for notifying callers of cancelled requests, closing connections and exiting.
+# Time reserved at the end of the grace period for notifying callers of cancelled requests, closing
+# connections and exiting.
 EXIT_MARGIN_S = 0.35
 # Upper limit of `leave_after`, the time for which all requests are still accepted, as a ratio of
 # the grace period.
 MAX_LEAVE_RATIO = 1 / 3
-# Requests whose deadline is after the end of a stop may start only within this ratio of its length.
-# A stop may also last for this ratio of the grace period, even if the exit margin is longer.
+# After `leaves_at`, a request whose deadline is after the end of the stop is accepted only in this
+# first part of the stop. A stop may also last for this ratio of the grace period, even if that
+# leaves less than EXIT_MARGIN_S.
 UNCERTAIN_START_RATIO = 0.5
-# Expected durations are multiplied by this factor and must still fit before the end of the stop.
+# Expected durations are multiplied by this factor to check whether they fit before the end of the
+# stop.
 ESTIMATE_SAFETY_FACTOR = 3
 
 
 class Plan(NamedTuple):
-    """Times (s) at which a stop begins, new requests are first refused, and it ends."""
+    """Times (s) at which a stop begins, new requests are first refused, and the stop ends."""
 
     began_at: float
     leaves_at: float
--- a/hornbeamgw/core/subsetting.py
+++ b/hornbeamgw/core/subsetting.py
@@ -1,9 +1,9 @@
 """Subsetting: limit the servers that a daemon connects to in large services.
 
-Connecting to every server of a large service costs memory for each link, and the load recorded for
-each server is outdated because it is rarely used. A daemon uses all servers in its own data centre
-and a subset of the remote ones. Subsets are selected by rendezvous hashing on the daemon's address,
-so that together the daemons cover all servers evenly.
+A daemon uses all servers in its own data centre and a subset of the remote ones. Connecting to
+every server of a large service would cost memory for each link, and each server would be used so
+rarely that its recorded load would be outdated. Subsets are selected by rendezvous hashing on the
+daemon's address, so that together the daemons cover all servers evenly.
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 from hornbeamgw.core.membership import Member, Status
 from hornbeamgw.core.rendezvous import select_members
 
-# Number of remote servers in a subset, such that enough are left if a third of the fleet fails.
+# Number of remote servers in a subset. If a random third of the fleet fails, 8 of the 12 are left
+# on average.
 N_REMOTE = 12
 
 
--- a/hornbeamgw/core/table.py
+++ b/hornbeamgw/core/table.py
@@ -13,7 +13,7 @@
 
 
 class Condition(NamedTuple):
-    """Precondition that a row has this entity tag, or with None that it doesn't exist."""
+    """Precondition that a row has the entity tag `etag`, or doesn't exist if `etag` is None."""
 
     etag: str | None
 
--- a/hornbeamgw/core/tally.py
+++ b/hornbeamgw/core/tally.py
@@ -29,10 +29,11 @@
 
 
 class Tally(NamedTuple):
-    """Counts of a server since it was started; `server` is its number within its daemon.
+    """Counts of a server since it was started; `server` is the number that its daemon gave it.
 
     `closed_step` is the rollout step since which the server accepts no non-idempotent requests, or
-    0 if it accepts them; `unsafe` is the number of such requests that still run on it after that.
+    0 if it accepts them. `unsafe` is the number of non-idempotent requests that still run on the
+    server, or 0 if `closed_step` is 0.
     """
 
     service: str
@@ -47,8 +48,8 @@
     """How an attempt ended: its failure, if any, the answer's status, and its duration in seconds.
 
     `typical_s` is the typical duration on the route in seconds, as sent by the caller's daemon, or
-    0 if unknown; `objective_s` is the latency objective in seconds. A cold server is expected to
-    take longer.
+    0 if unknown; `objective_s` is the latency objective in seconds. If `is_cold`, the server was
+    still warming up, and a longer duration is accepted.
     """
 
     failure: Failure | None
@@ -69,7 +70,7 @@
 
 
 def is_bad(outcome: AttemptOutcome) -> bool | None:
-    """Return whether an answer is bad because of the server, or None if that is unknown."""
+    """Return whether an attempt ended badly because of the server, or None if that is unknown."""
     is_slow = outcome.elapsed_s > slow_threshold(
         outcome.typical_s, outcome.objective_s, outcome.is_cold
     )
@@ -81,7 +82,7 @@
 
 
 def record(counts_by_route: dict[str, Count], route: str, bad: bool) -> None:
-    """Count an answer on a route; routes beyond MAX_ROUTES are ignored."""
+    """Count an answer on a route; once MAX_ROUTES routes are known, further ones are ignored."""
     known = counts_by_route.get(route)
     if known is None:
         if len(counts_by_route) >= MAX_ROUTES:
--- a/hornbeamgw/core/target.py
+++ b/hornbeamgw/core/target.py
@@ -1,4 +1,4 @@
-"""Request targets: host and path from the request line and Host (RFC 9112, section 3.2)."""
+"""Request targets: host and path of a request (RFC 9112, section 3.2)."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 def parse_target(target: str, host: str) -> Target:
     """Return the host and path of a request.
 
-    A target in absolute form takes precedence over the Host header. Raises ValueError if the path
-    has dot segments.
+    The host in a target that is a full URL takes precedence over the Host header. Raises
+    ValueError if the path has dot segments.
     """
     if target.lower().startswith(URL_SCHEMES):
         url = urlsplit(target)
--- a/hornbeamgw/core/transfers.py
+++ b/hornbeamgw/core/transfers.py
@@ -30,7 +30,7 @@
     """Return the expected transfer time of an answer in seconds.
 
     Concurrent answers are sent alternately, one part at a time. The delay of an answer that fits
-    into one part is negligible; a larger one is expected to wait for all pending data.
+    into one part is negligible; a larger answer is expected to wait for all pending bytes.
 
     Parameters
     ----------
--- a/hornbeamgw/core/verdict.py
+++ b/hornbeamgw/core/verdict.py
@@ -1,4 +1,4 @@
-"""Verdicts: whether a request ran, may have run, or did not run."""
+"""Verdicts: whether a request was answered, may have run, or did not run."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     COLD = "cold"  # the backend server has not finished starting
     DEADLINE = "deadline"
     DRAINING = "draining"
-    FENCED = "fenced"  # the attempt was already received, or resolved as not run
+    FENCED = "fenced"  # the attempt had already arrived, or was reported as not run
     LINK_LOST = "link_lost"
     NO_BACKEND = "no_backend"
     NO_CONNECTION = "no_connection"
@@ -45,7 +45,7 @@
     verdict : Verdict
         Whether the request may have run.
     reason : Reason
-        Why it failed.
+        Why the attempt or call failed.
     detail : str
         Details for the caller.
     retry_after_ms : int
--- a/hornbeamgw/core/versions.py
+++ b/hornbeamgw/core/versions.py
@@ -1,4 +1,4 @@
-"""Catalogue versions of a daemon: the known catalogue, and the snapshot in force."""
+"""Catalogue versions of a daemon: the latest known catalogue, and the snapshot in force."""
 
 from __future__ import annotations
 
@@ -25,9 +25,10 @@
 
 MAX_DELTAS = 256
 MAX_ARRIVALS = 512
-# A datagram of up to 1,472 bytes is not fragmented; the rest is for the other fields of a push.
+# Maximum size of the delta in a push. A datagram of up to 1,472 bytes is not fragmented, so 272
+# bytes are left for the other fields of the push.
 MAX_COMPRESSED_DELTA_BYTES = 1200
-# Larger deltas are not pushed; the receiver pulls them.
+# Maximum size of an uncompressed delta in a push; the receiver pulls a version with a larger one.
 MAX_DELTA_BYTES = 16 * 1024
 
 
@@ -59,7 +60,7 @@
 
 
 class LearnResult(NamedTuple):
-    """The result of processing deltas, a catalogue or a floor.
+    """The result of processing deltas, a catalogue or a floor (lowest version to put in force).
 
     `advanced` is whether the known version has increased, `applied` the snapshot that was put in
     force, if any, `stale_count` the number of versions that were already known, and `failure` the
@@ -102,7 +103,11 @@
 
 
 def _apply(state: VersionState, now: float) -> Snapshot | None:
-    """Put the known catalogue in force and return its snapshot, or None if that is not allowed."""
+    """Put the known catalogue in force if allowed, and return its snapshot, or None.
+
+    The catalogue must be valid and newer than the snapshot in force. The floor must be known, and
+    not higher than the version of the catalogue.
+    """
     known = state.catalogue
     if state.floor is None or known.version < state.floor:
         return None
@@ -203,7 +208,7 @@
 
 
 def learn_catalogue(state: VersionState, blob: bytes, origin: Origin, now: float) -> LearnResult:
-    """Replace the known catalogue by an encoded one if that is newer, and apply it."""
+    """Decode a catalogue; if it is newer, replace the known one and apply it if allowed."""
     try:
         catalogue = decode_catalogue(blob)
     except ValueError as error:
