--- a/hornbeamgw/core/caller_retries.py
+++ b/hornbeamgw/core/caller_retries.py
@@ -8,24 +8,22 @@
 
 from __future__ import annotations
 
-# Time limits are considered equal up to this difference. A caller takes longer than this to retry,
-# so the limit of a retry is lower by more.
+# Time limits are considered equal up to this difference, which is shorter than any caller's retry.
 TOLERANCE_MS = 4
-# The longest time limit of a route is discarded if no request had it for this time, since callers
-# may have lowered their limit.
+# The longest time limit of a route is discarded if no request had it for this time, in case callers
+# have lowered their limit.
 FORGET_AFTER_S = 10.0
 # First tries are assumed to have equal limits if at least this ratio of all requests has the
-# longest limit. The ratio is low because under overload most requests are retries, whose limits are
-# shorter.
+# longest one. The ratio is low because under overload most requests are retries.
 UNIFORM_LIMIT_RATIO = 0.15
-# Weight of the newest request in `_Route.with_longest`, after the first few requests.
+# Weight of the newest request in the moving average, after the first few requests.
 SMOOTHING_FACTOR = 0.02
-# Shortest time limit of a first try relative to the longest, assumed if these limits vary.
+# If the limits of first tries vary, the shortest of them relative to the longest.
 FIRST_TRY_MIN_RATIO = 0.8
 
 
 class _Route:
-    """Time limits seen on a route; `with_longest` is the ratio of requests with the longest one."""
+    """Time limits seen on a route; `with_longest` is the ratio of requests with the longest."""
 
     def __init__(self) -> None:
         self.longest_ms = 0
