--- a/features/steps/sampling.py
+++ b/features/steps/sampling.py
@@ -12,7 +12,7 @@
 from hornbeamgw.core.membership import Member
 from hornbeamgw.core.placement import RouteTraits
 from hornbeamgw.testing import simulated
-from hornbeamgw.testing.simulated import WIDE, Fleet, Kind
+from hornbeamgw.testing.simulated import HIGH_LIMITS, Fleet, Kind
 
 LOOKUP = Kind("lookup", 0.076, 0.486, 1.296, 1)
 DATA_CENTRES = 3
@@ -32,7 +32,9 @@
     ]
     candidates = [candidate_of(member, Load(NOW)) for member in members]
     me = Member("me", "dc-0", "region", 1)
-    context.choice = Choice(me, candidates, (), RouteTraits(LOOKUP.aim), LOOKUP.aim, NOW)
+    context.choice = Choice(
+        me, candidates, (), RouteTraits(LOOKUP.latency_objective), LOOKUP.latency_objective, NOW
+    )
 
 
 @when("{daemons:d} daemons place {seconds:d} seconds of lookups by asking and by memory")
@@ -46,7 +48,7 @@
 
 
 def unserved(outcome):
-    return outcome.asked.total() - outcome.served.total()
+    return outcome.requested.total() - outcome.served.total()
 
 
 @then("asking refuses at most a third as many")
@@ -63,7 +65,7 @@
 
 @then("no server is asked")
 def none_asked(context):
-    assert not sampling.should_ask(context.choice)
+    assert not sampling.should_query(context.choice)
 
 
 @when("one of them is known to be three times as fast as the rest")
@@ -74,9 +76,9 @@
 
 @then("all servers asked first are of the own data centre, and that one is among them")
 def near(context):
-    assert sampling.should_ask(context.choice)
+    assert sampling.should_query(context.choice)
     asked = sampling.sample(context.choice, True, random.Random(1))
-    assert len(asked) == sampling.ASKED_FASTEST + sampling.ASKED_AT_RANDOM
+    assert len(asked) == sampling.QUERIED_FASTEST + sampling.QUERIED_AT_RANDOM
     assert {c.member.data_centre for c in asked} == {"dc-0"}
     assert context.fast in asked
 
@@ -84,7 +86,7 @@
 @then("those asked next are of other data centres")
 def far(context):
     asked = sampling.sample(context.choice, False, random.Random(1))
-    assert len(asked) == sampling.ASKED_FASTEST + sampling.ASKED_REMOTE_AT_RANDOM
+    assert len(asked) == sampling.QUERIED_FASTEST + sampling.QUERIED_REMOTE_AT_RANDOM
     assert "dc-0" not in {c.member.data_centre for c in asked}
 
 
@@ -103,7 +105,9 @@
 
 def request(number, aim):
     attempt = AttemptId("a", 1, number)
-    return Request(attempt, "all", WIDE, NOW + 1.0, "lookup", NOW + aim, aim, 1, arrived_at=NOW)
+    return Request(
+        attempt, "all", HIGH_LIMITS, NOW + 1.0, "lookup", NOW + aim, aim, 1, arrived_at=NOW
+    )
 
 
 @given("a server with {slots:d} slots that are taken for {ms:d} ms more")
