--- a/hornbeamgw/core/stopping.py
+++ b/hornbeamgw/core/stopping.py
@@ -15,9 +15,9 @@
 # Upper limit of `leave_after`, the time for which all requests are still accepted, as a ratio of
 # the grace period.
 MAX_LEAVE_RATIO = 1 / 3
-# After `leaves_at`, a request whose deadline is after the end of the stop is accepted only in this
-# first part of the stop. A stop may also last for this ratio of the grace period, even if that
-# leaves less than EXIT_MARGIN_S.
+# After `leaves_at`, a request whose deadline lies beyond the end of the stop is accepted only in
+# this first fraction of the stop. The same fraction of the grace period is the minimum length of a
+# stop, even if that leaves less than EXIT_MARGIN_S.
 UNCERTAIN_START_RATIO = 0.5
 # Expected durations are multiplied by this factor to check whether they fit before the end of the
 # stop.
--- a/hornbeamgw/daemon/reader.py
+++ b/hornbeamgw/daemon/reader.py
@@ -49,7 +49,9 @@
 POLL_BACKOFF_S = 0.05
 # Low enough that reads resume within a second once the store is available again.
 POLL_BACKOFF_MAX_S = 0.8
-SLOW_POLL_BACKOFF_MAX_S = 3.2  # for readers with the long watch timeout
+# Readers with the long watch timeout may retry later, since the others notice first that the store
+# is available again and push what they read.
+SLOW_POLL_BACKOFF_MAX_S = 3.2
 FLOOR_BACKOFF_S = 0.25
 FLOOR_CHECK_INTERVAL_S = 0.02
 FLOOR_BACKOFF_MAX_S = 4.0
--- a/hornbeamgw/testing/load.py
+++ b/hornbeamgw/testing/load.py
@@ -146,8 +146,8 @@
 class Audit(NamedTuple):
     """Verdicts that callers received, compared with the requests that backend servers ran.
 
-    `lost` counts missing, incomplete and wrong results, `doubled` non-idempotent requests that ran
-    more than once.
+    `lost` counts missing, incomplete and wrong results. `doubled` counts non-idempotent requests
+    that ran more than once.
     """
 
     calls: int
--- a/hornbeamgw/testing/rollout_model.py
+++ b/hornbeamgw/testing/rollout_model.py
@@ -22,6 +22,7 @@
 from hornbeamgw.core.verdict import Failure, Reason, may_have_run
 
 SERVICE, OLD, NEW = "roster", "v1", "v2"
+# At most a tenth of the service's requests, plus 50, go to the version that is rolled out.
 BOUND = ExposureBound(0.1, 50.0)
 ROLLBACK_LIMIT_S = 5.0
 # Acceptance limit, not a trigger of rollbacks: a bad version must not receive requests later than
--- a/hornbeamgw/testing/simulated.py
+++ b/hornbeamgw/testing/simulated.py
@@ -162,11 +162,11 @@
         self._finish_until(NEVER_S)
         return self.outcome
 
-    def _dispatch(self, arrival: Arrival, number: int, rng: random.Random) -> None:
+    def _dispatch(self, arrival: Arrival, first_attempt_number: int, rng: random.Random) -> None:
         daemon, kind, now = rng.randrange(len(self._loads)), arrival.kind, arrival.at
         traits = self._traits[daemon].setdefault(kind.name, RouteTraits(kind.latency_objective))
         tried: list[str] = []
-        for attempt_number in range(number, number + MAX_ATTEMPTS):
+        for attempt_number in range(first_attempt_number, first_attempt_number + MAX_ATTEMPTS):
             candidates = [
                 candidate_of(member, self._loads[daemon][self._index_by_address[member.address]])
                 for member in self._known_servers(daemon)
